--- a/include/walnutmill/program_ledger.hpp
+++ b/include/walnutmill/program_ledger.hpp
@@ -2,26 +2,27 @@
 #define WALNUTMILL_PROGRAM_LEDGER_HPP
 
 /// \file
-/// Keeps each program within its budget of generated tokens, over all nodes,
+/// Enforces each program's budget of generated tokens across all nodes,
 /// restarts and outages of the store.
 ///
-/// A program has one row: what it has spent, and what each node has reserved
-/// for turns under way and to come. A turn starts only while spent tokens, all
-/// reservations and its own most fit into the budget. A reservation that
-/// nobody settles is a dead node's: what it holds may have been spent, so one
-/// turn more starts beside it while it does not fill the budget. In that case
-/// alone a program may pass its budget, by less than one turn.
+/// A program has one row in the store: the tokens it has spent, and the tokens
+/// each node has reserved for current and future turns. A turn starts only if
+/// the spent tokens, all reservations and the turn's own maximum fit into the
+/// budget. A reservation that is never settled belongs to a failed node, and
+/// its tokens may have been spent. One more turn may start beside such a
+/// reservation as long as it does not fill the budget. This is the only case
+/// in which a program may exceed its budget, by less than one turn.
 ///
-/// Load pattern: chains of short turns, a few at a time, most of a program's
-/// through one node, 150 to 650 turns a second against 800 to 1,500 writes.
-/// With a reservation and a settlement for each turn the store turned half of
-/// the writes away in a burst of twice the usual load at 80 nodes, and the
-/// retries kept it so after the burst. So a node reserves half of what is
-/// free, and settles when it needs more or the program is idle: some two
-/// writes a program.
+/// Load: chains of short turns, a few at a time, most turns of a program
+/// through one node, at 150 to 650 turns per second. The store handles 800 to
+/// 1,500 writes per second. With a reservation and a settlement per turn the
+/// store rejected half of the writes in a burst of twice the usual load at 80
+/// nodes, and the retries kept it overloaded after the burst. Therefore a node
+/// reserves half of the unclaimed budget, and settles when it needs more or
+/// the program is idle: about two writes per program.
 ///
-/// While the store is away a program that has no account yet may spend the
-/// allowance of its partition's lease (start_lease.hpp).
+/// While the store is unavailable, a program without an account may spend the
+/// escrow of its partition's lease (start_lease.hpp).
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/ids.hpp>
@@ -43,113 +44,125 @@
 namespace walnutmill
 {
 
-/// The durable account of one program.
+/// The account of one program as stored.
 struct program_account
 {
     struct reservation
     {
         std::uint64_t tokens = 0;
-        /// Number of the node's last change, by which it recognizes a change
-        /// of its own whose answer was lost.
+        /// Number of the node's latest change. The node uses it to recognize
+        /// that a change whose response was lost has taken effect.
         std::uint64_t change = 0;
     };
 
     std::uint64_t spent = 0;
-    /// When it was written, in UTC seconds.
+    /// Time of the last write, in UTC seconds.
     std::int64_t written_at = 0;
-    /// By incarnation of a node.
+    /// Reservations by node incarnation.
     std::map<std::string, reservation> reserved;
 
+    /// \return the sum of tokens reserved by all nodes but \p self.
     std::uint64_t reserved_by_others(std::string_view self) const;
 };
 
+/// \return the account in CBOR.
 std::string encode(program_account const& account);
-/// \return empty where the bytes are no account.
+/// \return empty if the bytes are not a valid account.
 std::optional<program_account> decode_account(std::string_view bytes);
 
+/// The outcome of a request to start a turn.
 enum class admission_answer
 {
-    /// The turn may start; settle it when it ends.
+    /// The turn may start and must be settled when it ends.
     admitted,
-    /// The budget does not hold the turn, and never will again.
+    /// The remaining budget is too small for the turn and cannot grow.
     exhausted,
-    /// What is left depends on turns under way at other nodes: come back.
+    /// The remaining budget depends on turns in progress at other nodes; the
+    /// caller should retry later.
     contended,
-    /// The store did not answer in time.
+    /// The store did not respond in time.
     store_unavailable,
-    /// The program has not begun, and no new one was to start.
+    /// The program has not started, and the request excludes new programs.
     not_begun
 };
+/// \return the name of the enumerator, as sent between nodes.
 std::string_view to_string(admission_answer answer);
 
-/// What a node is to a program's account.
+/// A node's role for a program's account.
 enum class account_role
 {
-    /// It keeps the account for all nodes, and reserves ahead.
+    /// The node manages the account for all nodes and reserves tokens for
+    /// future turns.
     home,
-    /// Another node is the home, and could not be asked: what a turn needs is
-    /// reserved, and given back as soon as it has ended.
-    guest,
-    /// Which node is the home is not known: what a turn needs is reserved, and
-    /// kept for the next one for \c idle_return: given back at once it costs
-    /// two writes a turn.
+    /// The fallback for a coordinator that is another node and could not be
+    /// reached. Reserves only what a turn needs, and releases it as soon as the
+    /// turn has ended.
+    fallback,
+    /// The coordinator is not known. Reserves only what a turn needs, and keeps
+    /// the reservation for the next turn for \c idle_release_delay, since
+    /// releasing it at once costs two writes per turn.
     unknown
 };
 
 struct ledger_options
 {
-    /// Part of the unclaimed budget that a node reserves. Programs use a
-    /// quarter to a third of their budgets (measured: median 0.22, 95 in 100
-    /// below 0.5), so half carries most of them with one write, and a crash
-    /// leaves as much.
-    double part_ahead = 0.5;
-    /// A reservation that nobody uses is given back after this by a node that
-    /// is not the program's home: longer than most pauses between turns (20 to
-    /// 150 ms on average), and with the write below the second after which a
-    /// refusal for want of budget has to count ended turns as what they spent.
-    duration idle_return = std::chrono::milliseconds(700);
-    /// \return true where this node is the program's home. A home keeps what
-    /// it has reserved: it knows what turns have spent, and when a program has
-    /// ended nobody knows. Giving it back cost one of 2.6 writes a program, and
-    /// one that was under way when the store was lost kept the program's turns
-    /// out until its return. Null: no node is.
+    /// Fraction of the unclaimed budget that a coordinator reserves. Programs
+    /// use a quarter to a third of their budgets (median 0.22, 95 in 100 below
+    /// 0.5), so half covers most of them with one write, and leaves as much
+    /// after a crash.
+    double reserve_ahead_fraction = 0.5;
+    /// Time after which a node that is not the program's coordinator releases
+    /// an idle reservation. It is longer than most pauses between turns (20 to
+    /// 150 ms on average). Together with the write it stays below 1 s, the time
+    /// after which a rejection for lack of budget must count each ended turn
+    /// as the tokens it spent.
+    duration idle_release_delay = std::chrono::milliseconds(700);
+    /// \return true if this node is the program's coordinator. If null, no
+    /// node is. A coordinator keeps its reservations: it knows what turns have
+    /// spent, while no node knows when a program has ended. Releasing them
+    /// costs one of 2.6 writes per program, and a release in progress when the
+    /// store fails blocks the program's turns until the store recovers.
     std::function<bool(program_id const&)> is_home;
-    /// A program that was started without the store gets its account once it
-    /// has been quiet for this long: longer than the pause before a caller
-    /// that was refused comes back (1.3 s), since while the write is under way
-    /// its turns wait for it.
-    duration write_new_after = std::chrono::seconds(3);
-    /// A home keeps a reservation for this long: about as long as the account
-    /// itself is kept. After that what it held counts as spent.
-    duration keep_idle = std::chrono::minutes(10);
-    /// A node that stops settles programs used since then; it has seconds to
-    /// end, and programs pause for less than a second between turns.
-    duration settle_at_stop = std::chrono::seconds(10);
-    /// A settled program is forgotten here after this; its row stays.
-    duration forget_after = std::chrono::seconds(30);
-    /// How long the store may take for one change.
-    std::chrono::milliseconds patience{2'500};
-    /// An account that keeps a turn out and has not changed for this long
-    /// holds a dead node's reservation: twice what a live node takes to give
-    /// back an idle one.
+    /// Idle time after which a program that started without the store gets its
+    /// account. It is longer than the delay before a rejected caller retries
+    /// (1.3 s), since the program's turns wait while the write is in progress.
+    duration new_account_write_delay = std::chrono::seconds(3);
+    /// How long a coordinator keeps an idle reservation: about as long as the
+    /// account itself is kept. After that its tokens count as spent.
+    duration idle_retention = std::chrono::minutes(10);
+    /// A node that shuts down settles programs used within this time. It has
+    /// only seconds to stop, and programs pause for less than a second between
+    /// turns.
+    duration shutdown_settle_window = std::chrono::seconds(10);
+    /// Idle time after which a settled program is removed from memory; its row
+    /// stays.
+    duration settled_retention = std::chrono::seconds(30);
+    /// Timeout of one read or write of the store.
+    std::chrono::milliseconds store_timeout{2'500};
+    /// An account that blocks a turn and has not changed for this long is taken
+    /// to hold a failed node's reservation. It is twice the time that a live
+    /// node takes to release an idle one.
     duration abandoned_after = std::chrono::milliseconds(1'500);
-    /// Stamps accounts, so that old ones can be removed.
+    /// Time source of \c written_at, by which old accounts are removed.
     utc_fn utc = system_utc();
-    /// Tries against other nodes' changes of the same row.
-    int conflict_tries = 8;
+    /// Attempts of a change that conflicts with other nodes' changes of the
+    /// same row, before the turns that wait get \c contended.
+    int max_conflict_attempts = 8;
 };
 
+/// Admits and settles turns against the programs' accounts in the store.
+/// Not thread-safe.
 class program_ledger
 {
 public:
     using answer_fn = std::function<void(admission_answer)>;
 
-    /// \return the store's table of accounts.
+    /// \return the name of the store's table of accounts.
     static char const* table();
 
-    /// \param self this incarnation of this node, unique for all time
-    /// \param leases outlive the ledger; null where no node of the site holds
-    /// any: then no program starts without the store
+    /// \param self identifies this incarnation of this node; never reused
+    /// \param leases must outlive the ledger. Null if no node of the site holds
+    /// leases; then no program starts without the store.
     program_ledger(
         versioned_store store, clock_fn clock, std::string self,
         ledger_options options = {}, start_leases* leases = nullptr);
@@ -157,106 +170,114 @@
     program_ledger(program_ledger const&) = delete;
     program_ledger& operator=(program_ledger const&) = delete;
 
-    /// Asks for a turn of at most that many tokens.
-    /// \param answer called once, maybe at once
-    /// \param needs_store the turn could not end without the store, so the
-    /// program should not start without it either
+    /// Requests a turn.
+    /// \param budget of the program, in tokens
+    /// \param most_tokens maximum number of tokens that the turn generates
+    /// \param answer called once, possibly before admit() returns
+    /// \param needs_store the turn cannot complete without the store, so the
+    /// program must not start without it either
+    /// \param role this node's role for the program's account
     void admit(
         program_id const& program, std::uint64_t budget,
         std::uint64_t most_tokens, answer_fn answer, bool needs_store = false,
         account_role role = account_role::home);
 
-    /// \return true where a turn of the program was asked for lately.
+    /// \return true if the program is in memory, as a turn of it was requested
+    /// recently.
     bool knows(program_id const& program) const;
 
-    /// A turn that was admitted has ended.
-    /// \param handed_out tokens that reached the caller
+    /// Records that an admitted turn has ended.
+    /// \param most_tokens as passed to admit()
+    /// \param delivered_tokens number of tokens delivered to the caller
     void settle(
         program_id const& program, std::uint64_t most_tokens,
-        std::uint64_t handed_out);
+        std::uint64_t delivered_tokens);
 
-    /// Gives back what lies idle; call it a few times a second.
+    /// Releases idle reservations. Call it a few times per second.
     void tick();
 
-    /// Settles all that is unsettled, as the node is about to stop.
+    /// Settles recently used programs before the node shuts down.
     void settle_all();
-    /// \return true while changes are under way.
-    bool busy() const { return changes_under_way_ > 0; }
+    /// \return true while reads or writes of the store are in progress.
+    bool busy() const { return changes_in_progress_ > 0; }
 
+    /// \return the number of programs in memory.
     std::size_t programs() const { return programs_.size(); }
 
 private:
-    struct waiting
+    /// A turn that waits for its admission.
+    struct waiting_turn
     {
         std::uint64_t most_tokens = 0;
         answer_fn answer;
         bool needs_store = false;
     };
-    /// A change sent to the store whose effect is not known yet.
+    /// A change sent to the store whose outcome is not known yet.
     struct sent_change
     {
         std::uint64_t number = 0;
-        std::uint64_t on_version = 0;
+        std::uint64_t base_version = 0;
         std::uint64_t reserved = 0;
         std::uint64_t settled = 0;
-        /// Of the partition's lease, for a program's first account.
+        /// Version of the partition's lease, for a program's first account.
         std::uint64_t lease_version = 0;
     };
     struct program_state
     {
         std::uint64_t budget = 0;
-        /// The row as last seen; no value: not read yet.
+        /// The row as last seen. Empty if not read yet or not in the store.
         std::optional<program_account> account;
         std::uint64_t version = 0;
-        /// Tokens that the store has reserved for this node.
+        /// Tokens reserved for this node.
         std::uint64_t reserved = 0;
-        /// Handed out by turns that ended, not yet settled in the row.
+        /// Tokens spent by ended turns, not yet settled in the row.
         std::uint64_t used = 0;
-        /// The most that turns under way may hand out.
-        std::uint64_t open = 0;
-        std::deque<waiting> queue;
+        /// Maximum number of tokens that turns in progress may generate.
+        std::uint64_t in_flight = 0;
+        std::deque<waiting_turn> queue;
         std::vector<sent_change> unresolved;
-        bool changing = false;
-        int tries = 0;
-        bool return_ahead = false;
+        bool change_pending = false;
+        int attempts = 0;
+        bool releasing = false;
         account_role role = account_role::home;
-        /// The account that last kept a turn out, and since when.
+        /// Version of the account that last blocked a turn, and since when.
         std::uint64_t contended_version = 0;
         time_point contended_since{};
-        /// One turn may start beside reservations that nobody settles.
+        /// One turn may start beside reservations of failed nodes.
         bool abandoned = false;
         time_point last_use{};
     };
 
-    void pump(program_id const& program, program_state& state);
-    void serve_queue(program_state& state);
+    void process_queue(program_id const& program, program_state& state);
+    void answer_decided_turns(program_state& state);
     bool fits_reservation(
         program_state const& state, std::uint64_t most_tokens) const;
     bool
     never_fits(program_state const& state, std::uint64_t most_tokens) const;
-    void change(program_id const& program, program_state& state);
-    bool held_by_the_dead(
+    void update_account(program_id const& program, program_state& state);
+    bool reservations_abandoned(
         program_state& state, program_account const& account) const;
-    std::uint64_t wanted_reservation(
+    std::uint64_t desired_reservation(
         program_state const& state, program_account const& account) const;
-    void send(
+    void commit_reservation(
         program_id const& program, program_state& state,
         std::uint64_t reservation);
-    void changed(
+    void on_committed(
         program_id const& program, sent_change const& sent,
         program_account const& account, time_point asked_at,
         transaction_result const& result);
-    void reread(program_id const& program);
-    void store_is_away(program_id const& program, program_state& state);
-    program_account present_account(
-        program_id const& program, program_state const& state) const;
-    void take_in_conflict(
+    void read_account(program_id const& program);
+    void
+    handle_store_unavailable(program_id const& program, program_state& state);
+    program_account
+    base_account(program_id const& program, program_state const& state) const;
+    void update_from_conflict(
         program_id const& program, program_state& state,
         std::vector<stored_row> const& rows);
-    void observe(
+    void update_from_row(
         program_id const& program, program_state& state, stored_row const* row);
-    void apply(program_state& state, sent_change const& sent);
-    void spend_forgotten(program_state& state) const;
+    void apply_change(program_state& state, sent_change const& sent);
+    void charge_untracked_reservation(program_state& state) const;
     bool should_settle(
         program_id const& program, program_state const& state,
         duration quiet) const;
@@ -270,7 +291,7 @@
     start_leases* leases_;
     std::unordered_map<program_id, program_state> programs_;
     std::uint64_t last_change_ = 0;
-    std::size_t changes_under_way_ = 0;
+    std::size_t changes_in_progress_ = 0;
     std::shared_ptr<bool> alive_;
 };
 
--- a/src/entry/budget_desk.cpp
+++ b/src/entry/budget_desk.cpp
@@ -18,16 +18,17 @@
 constexpr std::string_view admit_path = "/budget/admit";
 constexpr std::string_view settle_path = "/budget/settle";
 
-constexpr milliseconds settlement_patience{500};
-/// Times that a home is asked on while it says that it is still at it: with
-/// its pauses of 100 ms longer than the ledger waits for the store (2.5 s).
-constexpr int most_questions = 30;
+constexpr milliseconds settlement_timeout{500};
+/// Number of admission requests sent to a coordinator that replies "pending".
+/// At one reply per 100 ms this exceeds the ledger's store timeout (2.5 s).
+constexpr int max_admission_requests = 30;
 constexpr std::string_view pending_answer = "pending";
-/// Tries to tell a home what a turn spent; untold it counts as its most.
-constexpr int settlement_tries = 4;
-/// A turn of another node that was not settled by then is taken for spent:
-/// longer than any route lets a turn last.
-constexpr std::chrono::seconds open_at_most{40};
+/// Attempts to report to a coordinator what a turn spent. An unreported turn
+/// counts as its maximum.
+constexpr int max_settlement_attempts = 4;
+/// Time after which the maximum of another node's unsettled turn counts as
+/// spent. It is longer than any route's limit on the duration of a turn.
+constexpr std::chrono::seconds max_turn_duration{40};
 
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
@@ -45,7 +46,7 @@
     return admission_answer::store_unavailable;
 }
 
-home_options home_options_of(double own_strength)
+home_options coordinator_options_of(double own_strength)
 {
     home_options to;
     to.own_strength = own_strength;
@@ -63,8 +64,9 @@
     return to;
 }
 
-/// \return empty where another version of this program wrote something else.
-std::optional<prompt_place> place_of(json const& from)
+/// \return empty if the JSON has another format, as sent by another version of
+/// walnutmill.
+std::optional<prompt_place> cache_location_of(json const& from)
 {
     auto const has = [&from](char const* field, json::value_t type)
     { return from.contains(field) && from[field].type() == type; };
@@ -84,7 +86,7 @@
         std::move(engine)};
 }
 
-std::vector<prompt_place> places_of(json const& body)
+std::vector<prompt_place> cache_locations_of(json const& body)
 {
     std::vector<prompt_place> to;
     auto const places = body.find("places");
@@ -92,7 +94,7 @@
         return to;
     for (auto const& one : *places)
     {
-        if (auto place = place_of(one))
+        if (auto place = cache_location_of(one))
             to.push_back(std::move(*place));
     }
     return to;
@@ -105,138 +107,153 @@
     std::string self, std::string incarnation, desk_options options,
     double own_strength)
     : io_(io), ledger_(ledger), clock_(std::move(clock)), caller_(io),
-      homes_(std::move(self), home_options_of(own_strength)), places_(clock_),
-      incarnation_(std::move(incarnation)), options_(options)
+      coordinators_(std::move(self), coordinator_options_of(own_strength)),
+      cache_locations_(clock_), incarnation_(std::move(incarnation)),
+      options_(options)
 {
 }
 
 void budget_desk::set_nodes(std::vector<home_candidate> others)
 {
-    homes_.set_nodes(std::move(others));
+    coordinators_.set_nodes(std::move(others));
 }
 
-void budget_desk::admit_here(
-    wish const& one, account_role role, answer_fn answer)
+void budget_desk::admit_locally(
+    admission_request const& request, account_role role, answer_fn answer)
 {
-    if (one.only_begun && !ledger_.knows(one.program))
+    if (request.only_begun && !ledger_.knows(request.program))
     {
         answer(admission_answer::not_begun, {});
         return;
     }
     ledger_.admit(
-        one.program, one.budget, one.most_tokens,
-        [this, alive = alive_, one,
+        request.program, request.budget, request.most_tokens,
+        [this, alive = alive_, request,
          answer = std::move(answer)](admission_answer what)
         {
-            auto places =
-                *alive ? places_.of(one.program) : std::vector<prompt_place>();
+            auto places = *alive ? cache_locations_.of(request.program)
+                                 : std::vector<prompt_place>();
             answer(
-                what,
-                {one.program, one.most_tokens, {}, {}, {}, std::move(places)});
+                what, {request.program,
+                       request.most_tokens,
+                       {},
+                       {},
+                       {},
+                       std::move(places)});
         },
-        one.needs_store, role);
+        request.needs_store, role);
 }
 
-void budget_desk::admit(wish const& one, answer_fn const& answer)
+void budget_desk::admit(
+    admission_request const& request, answer_fn const& answer)
 {
     auto const* home =
-        homes_.home_of(partition_of(one.program.str()), clock_());
+        coordinators_.home_of(partition_of(request.program.str()), clock_());
     if (home == nullptr)
     {
-        admit_here(
-            one,
-            homes_.knows_nodes() ? account_role::home : account_role::unknown,
+        admit_locally(
+            request,
+            coordinators_.knows_nodes() ? account_role::home
+                                        : account_role::unknown,
             answer);
         return;
     }
-    grant const wanted{one.program,
-                       one.most_tokens,
-                       incarnation_ + "/" + std::to_string(++last_turn_),
-                       home->node,
-                       home->address,
-                       {}};
-    ask_home(one, wanted, most_questions, answer);
+    grant const requested{
+        request.program,
+        request.most_tokens,
+        incarnation_ + "/" + std::to_string(++last_turn_),
+        home->node,
+        home->address,
+        {}};
+    request_from_coordinator(
+        request, requested, max_admission_requests, answer);
 }
 
-void budget_desk::ask_home(
-    wish const& one, grant const& wanted, int questions,
+void budget_desk::request_from_coordinator(
+    admission_request const& request, grant const& requested, int requests_left,
     answer_fn const& answer)
 {
     caller_.call(
-        wanted.home_address,
+        requested.coordinator_address,
         cbor_request(
-            admit_path, wanted.home_address,
-            {{"program", one.program.str()},
-             {"budget", one.budget},
-             {"most", one.most_tokens},
-             {"only_begun", one.only_begun},
-             {"needs_store", one.needs_store},
-             {"turn", wanted.turn}}),
-        options_.admission_patience,
-        [this, one, wanted, questions, answer](http_reply const& reply)
+            admit_path, requested.coordinator_address,
+            {{"program", request.program.str()},
+             {"budget", request.budget},
+             {"most", request.most_tokens},
+             {"only_begun", request.only_begun},
+             {"needs_store", request.needs_store},
+             {"turn", requested.turn}}),
+        options_.admission_timeout,
+        [this, request, requested, requests_left,
+         answer](http_reply const& reply)
         {
             auto const body = reply.answered && reply.status == status_ok
                                   ? json::from_cbor(reply.body, true, false)
                                   : json();
-            auto const told = body.is_object()
-                                  ? body.value("answer", std::string())
-                                  : std::string();
-            if (told == pending_answer && questions > 1)
+            auto const answer_text = body.is_object()
+                                         ? body.value("answer", std::string())
+                                         : std::string();
+            if (answer_text == pending_answer && requests_left > 1)
             {
-                ask_home(one, wanted, questions - 1, answer);
+                request_from_coordinator(
+                    request, requested, requests_left - 1, answer);
                 return;
             }
-            if (body.is_object() && told != pending_answer)
+            if (body.is_object() && answer_text != pending_answer)
             {
-                homes_.answered(wanted.home);
-                auto granted = wanted;
-                granted.places = places_of(body);
-                answer(answer_of(told), std::move(granted));
+                coordinators_.answered(requested.home);
+                auto granted = requested;
+                granted.places = cache_locations_of(body);
+                answer(answer_of(answer_text), std::move(granted));
                 return;
             }
-            homes_.did_not_answer(wanted.home, clock_());
-            // It may have admitted the turn all the same.
+            coordinators_.did_not_answer(requested.home, clock_());
+            // The coordinator may have admitted the turn nevertheless.
             if (reply.sent)
-                send_settlement(wanted, 0, std::nullopt, 1);
-            admit_here(one, account_role::guest, answer);
+                send_settlement(requested, 0, std::nullopt, 1);
+            admit_locally(request, account_role::fallback, answer);
         });
 }
 
 void budget_desk::settle(
-    grant const& one, std::uint64_t handed_out,
-    std::optional<prompt_place> const& left)
+    grant const& granted, std::uint64_t delivered_tokens,
+    std::optional<prompt_place> const& location)
 {
-    if (!one.home.empty())
+    if (!granted.home.empty())
     {
-        send_settlement(one, handed_out, left, settlement_tries);
+        send_settlement(
+            granted, delivered_tokens, location, max_settlement_attempts);
         return;
     }
-    if (left)
-        places_.note(one.program, *left);
-    ledger_.settle(one.program, one.most_tokens, handed_out);
+    if (location)
+        cache_locations_.note(granted.program, *location);
+    ledger_.settle(granted.program, granted.most_tokens, delivered_tokens);
 }
 
 void budget_desk::send_settlement(
-    grant const& one, std::uint64_t handed_out,
-    std::optional<prompt_place> const& left, int tries)
+    grant const& granted, std::uint64_t delivered_tokens,
+    std::optional<prompt_place> const& location, int attempts_left)
 {
-    json told{{"turn", one.turn}, {"used", handed_out}};
-    if (left)
-        told["left"] = to_json(*left);
+    json settlement{{"turn", granted.turn}, {"used", delivered_tokens}};
+    if (location)
+        settlement["left"] = to_json(*location);
     caller_.call(
-        one.home_address, cbor_request(settle_path, one.home_address, told),
-        settlement_patience,
-        [this, one, handed_out, left, tries](http_reply const& reply)
+        granted.coordinator_address,
+        cbor_request(settle_path, granted.coordinator_address, settlement),
+        settlement_timeout,
+        [this, granted, delivered_tokens, location,
+         attempts_left](http_reply const& reply)
         {
-            // Told twice, a home finds the turn settled already.
-            if (!reply.answered && tries > 1)
-                send_settlement(one, handed_out, left, tries - 1);
+            // The coordinator ignores a repeated settlement.
+            if (!reply.answered && attempts_left > 1)
+                send_settlement(
+                    granted, delivered_tokens, location, attempts_left - 1);
         });
 }
 
 bool budget_desk::is_home_of(std::string const& key) const
 {
-    return homes_.home_of(key, clock_()) == nullptr;
+    return coordinators_.home_of(key, clock_()) == nullptr;
 }
 
 bool budget_desk::is_request(std::string_view target)
@@ -259,119 +276,124 @@
 void budget_desk::serve_admission(
     std::string_view body, std::function<void(int, std::string)> const& reply)
 {
-    auto const asked = json::from_cbor(body, true, false);
-    if (!asked.is_object())
+    auto const message = json::from_cbor(body, true, false);
+    if (!message.is_object())
     {
         reply(status_bad_request, {});
         return;
     }
-    wish one;
-    one.program = program_id(asked.value("program", std::string()));
-    one.budget = asked.value("budget", std::uint64_t{0});
-    one.most_tokens = asked.value("most", std::uint64_t{0});
-    one.only_begun = asked.value("only_begun", false);
-    one.needs_store = asked.value("needs_store", false);
-    auto const turn = asked.value("turn", std::string());
-    // Asked again while it is under way: the same admission, asked on.
-    auto const under_way = slow_.count(turn) > 0;
-    await(turn, one.program, reply);
-    if (under_way)
+    admission_request request;
+    request.program = program_id(message.value("program", std::string()));
+    request.budget = message.value("budget", std::uint64_t{0});
+    request.most_tokens = message.value("most", std::uint64_t{0});
+    request.only_begun = message.value("only_begun", false);
+    request.needs_store = message.value("needs_store", false);
+    auto const turn = message.value("turn", std::string());
+    // A repeated request waits for the admission that is already in progress.
+    auto const in_progress = pending_.count(turn) > 0;
+    await_decision(turn, request.program, reply);
+    if (in_progress)
         return;
-    admit_here(
-        one, account_role::home,
-        [this, alive = alive_, one, turn](admission_answer what, grant const&)
+    admit_locally(
+        request, account_role::home,
+        [this, alive = alive_, request,
+         turn](admission_answer what, grant const&)
         {
             if (*alive)
-                admitted(one, turn, what);
+                on_decided(request, turn, what);
         });
 }
 
-/// Answers the asker once the admission is decided, or that it is under way.
-void budget_desk::await(
-    std::string const& turn, program_id const& program, reply_fn asker)
+/// Replies when the admission is decided, or that it is pending.
+void budget_desk::await_decision(
+    std::string const& turn, program_id const& program, reply_fn reply)
 {
-    auto& slow = slow_[turn];
-    slow.program = program;
-    slow.asker = std::move(asker);
-    slow.until = clock_() + open_at_most;
-    if (slow.answer)
+    auto& pending = pending_[turn];
+    pending.program = program;
+    pending.reply = std::move(reply);
+    pending.expires_at = clock_() + max_turn_duration;
+    if (pending.answer)
     {
-        reply_slow(turn);
+        reply_to_pending(turn);
         return;
     }
-    slow.patience = std::make_shared<boost::asio::steady_timer>(io_);
-    slow.patience->expires_after(options_.say_pending_after);
-    slow.patience->async_wait(
+    pending.pending_timer = std::make_shared<boost::asio::steady_timer>(io_);
+    pending.pending_timer->expires_after(options_.pending_reply_delay);
+    pending.pending_timer->async_wait(
         [this, alive = alive_, turn](boost::system::error_code const& error)
         {
             if (!error && *alive)
-                reply_slow(turn);
+                reply_to_pending(turn);
         });
 }
 
-void budget_desk::admitted(
-    wish const& one, std::string const& turn, admission_answer what)
+void budget_desk::on_decided(
+    admission_request const& request, std::string const& turn,
+    admission_answer what)
 {
-    auto const slow = slow_.find(turn);
-    auto const withdrawn = slow != slow_.end() && slow->second.withdrawn;
+    auto const pending = pending_.find(turn);
+    auto const withdrawn =
+        pending != pending_.end() && pending->second.withdrawn;
     if (withdrawn && what == admission_answer::admitted)
-        ledger_.settle(one.program, one.most_tokens, 0);
+        ledger_.settle(request.program, request.most_tokens, 0);
     if (withdrawn)
     {
-        slow_.erase(slow);
+        pending_.erase(pending);
         return;
     }
     if (what == admission_answer::admitted)
-        open_[turn] = {one.program, one.most_tokens, clock_() + open_at_most};
-    slow_[turn].answer = what;
-    reply_slow(turn);
+        remote_turns_[turn] = {
+            request.program, request.most_tokens, clock_() + max_turn_duration};
+    pending_[turn].answer = what;
+    reply_to_pending(turn);
 }
 
-void budget_desk::reply_slow(std::string const& turn)
+void budget_desk::reply_to_pending(std::string const& turn)
 {
-    auto const found = slow_.find(turn);
-    if (found == slow_.end() || !found->second.asker)
+    auto const found = pending_.find(turn);
+    if (found == pending_.end() || !found->second.reply)
         return;
     auto const answer = found->second.answer;
     auto const program = found->second.program;
-    auto const reply = std::move(found->second.asker);
-    found->second.asker = {};
-    if (found->second.patience)
-        found->second.patience->cancel();
+    auto const reply = std::move(found->second.reply);
+    found->second.reply = {};
+    if (found->second.pending_timer)
+        found->second.pending_timer->cancel();
     if (answer)
-        slow_.erase(found);
-    json told{{"answer", answer ? to_string(*answer) : pending_answer}};
+        pending_.erase(found);
+    json body{{"answer", answer ? to_string(*answer) : pending_answer}};
     if (answer == admission_answer::admitted)
     {
-        for (auto const& one : places_.of(program))
-            told["places"].push_back(to_json(one));
+        for (auto const& location : cache_locations_.of(program))
+            body["places"].push_back(to_json(location));
     }
-    auto const bytes = json::to_cbor(told);
+    auto const bytes = json::to_cbor(body);
     reply(status_ok, std::string(bytes.begin(), bytes.end()));
 }
 
 void budget_desk::serve_settlement(
     std::string_view body, std::function<void(int, std::string)> const& reply)
 {
-    auto const told = json::from_cbor(body, true, false);
-    if (!told.is_object())
+    auto const settlement = json::from_cbor(body, true, false);
+    if (!settlement.is_object())
     {
         reply(status_bad_request, {});
         return;
     }
-    auto const turn = told.value("turn", std::string());
-    auto const slow = slow_.find(turn);
-    if (slow != slow_.end() && !slow->second.answer)
-        slow->second.withdrawn = true;
-    auto const found = open_.find(turn);
-    if (found != open_.end())
+    auto const turn = settlement.value("turn", std::string());
+    auto const pending = pending_.find(turn);
+    if (pending != pending_.end() && !pending->second.answer)
+        pending->second.withdrawn = true;
+    auto const found = remote_turns_.find(turn);
+    if (found != remote_turns_.end())
     {
-        auto const one = found->second;
-        open_.erase(found);
-        if (auto left = place_of(told.value("left", json())))
-            places_.note(one.program, std::move(*left));
+        auto const ended = found->second;
+        remote_turns_.erase(found);
+        if (auto location = cache_location_of(settlement.value("left", json())))
+            cache_locations_.note(ended.program, std::move(*location));
         ledger_.settle(
-            one.program, one.most_tokens, told.value("used", one.most_tokens));
+            ended.program, ended.most_tokens,
+            settlement.value("used", ended.most_tokens));
     }
     reply(status_ok, {});
 }
@@ -379,20 +401,20 @@
 void budget_desk::tick()
 {
     auto const now = clock_();
-    for (auto it = open_.begin(); it != open_.end();)
+    for (auto it = remote_turns_.begin(); it != remote_turns_.end();)
     {
         auto const& one = it->second;
-        if (one.until > now)
+        if (one.expires_at > now)
         {
             ++it;
             continue;
         }
         ledger_.settle(one.program, one.most_tokens, one.most_tokens);
-        it = open_.erase(it);
+        it = remote_turns_.erase(it);
     }
-    places_.sweep();
-    for (auto it = slow_.begin(); it != slow_.end();)
-        it = it->second.until > now ? std::next(it) : slow_.erase(it);
+    cache_locations_.sweep();
+    for (auto it = pending_.begin(); it != pending_.end();)
+        it = it->second.expires_at > now ? std::next(it) : pending_.erase(it);
 }
 
 } // namespace walnutmill
--- a/src/entry/budget_desk.hpp
+++ b/src/entry/budget_desk.hpp
@@ -2,9 +2,13 @@
 #define WALNUTMILL_SRC_ENTRY_BUDGET_DESK_HPP
 
 /// \file
-/// Asks a program's home for its turns, and answers other nodes as the home
-/// of theirs. With a turn's admission the home tells where the program's
-/// prompts lie, and with its settlement it is told where the turn left its own.
+/// Requests the admission of turns from the program's coordinator, and serves
+/// other nodes' requests for programs that this node coordinates. Without it
+/// each node reserves and settles in the store for itself, and a turn does not
+/// find the engines that hold the program's prompts in their prefix caches.
+///
+/// The reply to an admission lists the program's prefix cache locations, and a
+/// settlement reports the location of the turn's own prompt.
 
 #include <walnutmill/program_ledger.hpp>
 
@@ -27,111 +31,128 @@
 
 struct desk_options
 {
-    /// A home answers from memory in 2 to 4 ms; with a write of its own first
-    /// in 10 to 15. One that says nothing for longer than this costs a turn
-    /// more than asking the store itself.
-    std::chrono::milliseconds admission_patience{150};
-    /// A home that is still at it after this says so, so that it is not taken
-    /// for dead: two thirds of the above. Without that a home whose store was
-    /// slow or just lost was passed over for 2 s by all others, and with it
-    /// its programs could not start on its leases.
-    std::chrono::milliseconds say_pending_after{100};
+    /// Timeout of an admission request. A coordinator replies from memory in 2
+    /// to 4 ms, or in 10 to 15 ms if it writes to the store first. Waiting
+    /// longer than this costs a turn more than using the store directly.
+    std::chrono::milliseconds admission_timeout{150};
+    /// Delay after which a coordinator replies that an admission is pending, so
+    /// that it is not considered failed: two thirds of the timeout above.
+    /// Without this reply, all other nodes skip for 2 s a coordinator whose
+    /// store is slow or has just failed, and its programs cannot start on the
+    /// leases it holds.
+    std::chrono::milliseconds pending_reply_delay{100};
 };
 
+/// Admits and settles turns at the coordinators of their programs.
 class budget_desk
 {
 public:
-    /// An admitted turn: where it is to be settled.
+    /// An admitted turn and the node at which it must be settled.
     struct grant
     {
         program_id program;
         std::uint64_t most_tokens = 0;
-        /// Names the turn, so that a settlement told twice counts once.
+        /// Unique id of the turn, so that a repeated settlement counts once.
         std::string turn;
-        /// Empty: at this node.
+        /// Name of the coordinator; empty if the turn is settled at this node.
         std::string home;
-        std::string home_address;
-        /// Where prompts of the program lie, the latest last.
+        /// IP:PORT of the coordinator.
+        std::string coordinator_address;
+        /// Prefix cache locations of the program's prompts, the latest last.
         std::vector<prompt_place> places{};
     };
 
-    /// What is asked for a turn.
-    struct wish
+    /// A request to start a turn.
+    struct admission_request
     {
         program_id program;
         std::uint64_t budget = 0;
         std::uint64_t most_tokens = 0;
-        /// Only if the program has begun.
+        /// Admit the turn only if its program has already started.
         bool only_begun = false;
-        /// The turn could not end without the store.
+        /// The turn cannot complete without the store.
         bool needs_store = false;
     };
 
     using answer_fn = std::function<void(admission_answer, grant)>;
 
+    /// \param ledger must outlive the service
+    /// \param self name of this node
+    /// \param incarnation unique id of this node's process, never reused
+    /// \param own_strength capacity weight of this node, in cores
     budget_desk(
         boost::asio::io_context& io, program_ledger& ledger, clock_fn clock,
         std::string self, std::string incarnation, desk_options options = {},
         double own_strength = 1);
 
+    /// \param others the other nodes that may be coordinators
     void set_nodes(std::vector<home_candidate> others);
 
-    /// Asks for a turn, at the program's home or, where that does not answer,
-    /// at this node's own ledger.
-    void admit(wish const& one, answer_fn const& answer);
+    /// Requests a turn from the program's coordinator or, if that does not
+    /// reply in time, from this node's ledger.
+    /// \param answer called once, possibly before admit() returns
+    void admit(admission_request const& request, answer_fn const& answer);
 
-    /// \param left where the turn left its prompt; empty: not known
+    /// Records that an admitted turn has ended.
+    /// \param delivered_tokens number of tokens delivered to the caller
+    /// \param location prefix cache location of the turn's prompt; empty if
+    /// unknown
     void settle(
-        grant const& one, std::uint64_t handed_out,
-        std::optional<prompt_place> const& left = std::nullopt);
+        grant const& granted, std::uint64_t delivered_tokens,
+        std::optional<prompt_place> const& location = std::nullopt);
 
-    /// \return true where this node is the home of that key.
+    /// \return true if this node is the coordinator of that key.
     bool is_home_of(std::string const& key) const;
 
-    /// \return true for a path that serve() answers.
+    /// \return true if serve() handles the path.
     static bool is_request(std::string_view target);
 
-    /// Answers another node. \param reply gets the status and the body
+    /// Handles another node's request.
+    /// \param reply receives the HTTP status and the body
     void serve(
         std::string_view target, std::string_view body,
         std::function<void(int, std::string)> const& reply);
 
-    /// Settles turns of other nodes that never did; call it now and then.
+    /// Settles turns that other nodes have not settled in time. Call it
+    /// periodically.
     void tick();
 
 private:
-    struct open_turn
+    /// A turn of another node in progress.
+    struct remote_turn
     {
         program_id program;
         std::uint64_t most_tokens = 0;
-        time_point until;
+        time_point expires_at;
     };
     using reply_fn = std::function<void(int, std::string)>;
-    /// An admission that another node asked for and that takes long.
-    struct slow_admission
+    /// An admission requested by another node and not yet answered.
+    struct pending_admission
     {
         program_id program;
-        /// The node's latest question, while it waits.
-        reply_fn asker;
+        /// Replies to the node's latest request; empty if none waits.
+        reply_fn reply;
         std::optional<admission_answer> answer;
-        /// The node went on without it.
+        /// The node has continued without the admission.
         bool withdrawn = false;
-        std::shared_ptr<boost::asio::steady_timer> patience;
-        time_point until;
+        std::shared_ptr<boost::asio::steady_timer> pending_timer;
+        time_point expires_at;
     };
 
-    void admit_here(wish const& one, account_role role, answer_fn answer);
-    void ask_home(
-        wish const& one, grant const& wanted, int questions,
-        answer_fn const& answer);
-    void
-    await(std::string const& turn, program_id const& program, reply_fn asker);
-    void
-    admitted(wish const& one, std::string const& turn, admission_answer what);
-    void reply_slow(std::string const& turn);
+    void admit_locally(
+        admission_request const& request, account_role role, answer_fn answer);
+    void request_from_coordinator(
+        admission_request const& request, grant const& requested,
+        int requests_left, answer_fn const& answer);
+    void await_decision(
+        std::string const& turn, program_id const& program, reply_fn reply);
+    void on_decided(
+        admission_request const& request, std::string const& turn,
+        admission_answer what);
+    void reply_to_pending(std::string const& turn);
     void send_settlement(
-        grant const& one, std::uint64_t handed_out,
-        std::optional<prompt_place> const& left, int tries);
+        grant const& granted, std::uint64_t delivered_tokens,
+        std::optional<prompt_place> const& location, int attempts_left);
     void serve_admission(
         std::string_view body,
         std::function<void(int, std::string)> const& reply);
@@ -143,15 +164,15 @@
     program_ledger& ledger_;
     clock_fn clock_;
     http_caller caller_;
-    program_homes homes_;
-    prompt_places places_;
+    program_homes coordinators_;
+    prompt_places cache_locations_;
     std::string incarnation_;
     desk_options options_;
     std::uint64_t last_turn_ = 0;
-    /// Turns of other nodes under way here, by their names.
-    std::unordered_map<std::string, open_turn> open_;
-    /// Admissions of other nodes that are not answered yet, by turn.
-    std::unordered_map<std::string, slow_admission> slow_;
+    /// Turns of other nodes in progress, by turn id.
+    std::unordered_map<std::string, remote_turn> remote_turns_;
+    /// Unanswered admissions for other nodes, by turn id.
+    std::unordered_map<std::string, pending_admission> pending_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/entry/program_account.cpp
+++ b/src/entry/program_account.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A program's account as it lies in the store.
+/// Encodes a program's account for the store, in CBOR.
 
 #include <walnutmill/program_ledger.hpp>
 
@@ -38,19 +38,19 @@
     try
     {
         auto const body = json::from_cbor(bytes.begin(), bytes.end());
-        program_account to;
-        to.spent = body.at("spent").get<std::uint64_t>();
-        to.written_at = body.at("at").get<std::int64_t>();
+        program_account account;
+        account.spent = body.at("spent").get<std::uint64_t>();
+        account.written_at = body.at("at").get<std::int64_t>();
         for (auto const& [node, one] : body.at("nodes").items())
         {
-            to.reserved[node] = {
+            account.reserved[node] = {
                 one.at(0).get<std::uint64_t>(), one.at(1).get<std::uint64_t>()};
         }
-        return to;
+        return account;
     }
     catch (json::exception const&)
     {
-        // The callers refuse the turn rather than trust a broken account.
+        // The callers reject the turn rather than use a corrupt account.
         return std::nullopt;
     }
 }
--- a/src/entry/program_ledger.cpp
+++ b/src/entry/program_ledger.cpp
@@ -13,13 +13,13 @@
 
 constexpr char const* table_name = "walnutmill-programs";
 
-/// What an account that can't be read is taken for: nothing may be handed out
-/// on the strength of a guess.
-program_account spent_up()
+/// \return the account assumed for a row that cannot be decoded: its budget is
+/// spent, so that no turn starts without a known balance.
+program_account exhausted_account()
 {
-    program_account to;
-    to.spent = std::numeric_limits<std::uint32_t>::max();
-    return to;
+    program_account made;
+    made.spent = std::numeric_limits<std::uint32_t>::max();
+    return made;
 }
 
 } // namespace
@@ -58,7 +58,7 @@
 
 program_ledger::~program_ledger()
 {
-    // Answers of the store that still come find nobody.
+    // Callbacks of the store that run later return without using the ledger.
     *alive_ = false;
 }
 
@@ -75,19 +75,21 @@
     state.role = role;
     state.budget = budget;
     state.last_use = clock_();
-    state.return_ahead = false;
+    state.releasing = false;
     state.queue.push_back({most_tokens, std::move(answer), needs_store});
-    if (!state.changing)
-        state.tries = 0;
-    pump(program, state);
+    if (!state.change_pending)
+        state.attempts = 0;
+    process_queue(program, state);
 }
 
-/// Answers what can be answered, then asks the store for what the rest needs.
-void program_ledger::pump(program_id const& program, program_state& state)
+/// Answers the turns that can be decided locally, then requests from the store
+/// what the others need.
+void program_ledger::process_queue(
+    program_id const& program, program_state& state)
 {
-    serve_queue(state);
-    if (!state.queue.empty() && !state.changing)
-        change(program, state);
+    answer_decided_turns(state);
+    if (!state.queue.empty() && !state.change_pending)
+        update_account(program, state);
 }
 
 bool program_ledger::knows(program_id const& program) const
@@ -98,18 +100,19 @@
 bool program_ledger::fits_reservation(
     program_state const& state, std::uint64_t most_tokens) const
 {
-    auto const claimed = state.used + state.open + most_tokens;
-    // A change under way or in doubt may have shrunk the reservation already,
-    // and other nodes may count on what it gave back.
-    auto const fits_after = [&](sent_change const& one)
-    { return claimed <= one.reserved + one.settled; };
+    auto const claimed = state.used + state.in_flight + most_tokens;
+    // A change that is in progress or whose outcome is unknown may already
+    // have reduced the reservation, and other nodes may use the released
+    // tokens.
+    auto const fits_after = [&](sent_change const& sent)
+    { return claimed <= sent.reserved + sent.settled; };
     return claimed <= state.reserved &&
            std::all_of(
                state.unresolved.begin(), state.unresolved.end(), fits_after);
 }
 
-/// Spent tokens and what this node's turns under way may still spend never
-/// shrink below this, so a turn that does not fit now never will.
+/// \return true if the turn exceeds the budget for good: the sum of spent and
+/// unsettled tokens never decreases.
 bool program_ledger::never_fits(
     program_state const& state, std::uint64_t most_tokens) const
 {
@@ -117,7 +120,7 @@
     return spent + state.used + most_tokens > state.budget;
 }
 
-void program_ledger::serve_queue(program_state& state)
+void program_ledger::answer_decided_turns(program_state& state)
 {
     while (!state.queue.empty())
     {
@@ -128,20 +131,20 @@
         auto const answer = std::move(state.queue.front().answer);
         state.queue.pop_front();
         if (fits)
-            state.open += most;
+            state.in_flight += most;
         answer(fits ? admission_answer::admitted : admission_answer::exhausted);
     }
 }
 
-/// \return what this node should have reserved once its used tokens are
-/// settled: turns under way, turns that wait as far as they may start, and up
-/// to half of what nobody else has claimed.
-std::uint64_t program_ledger::wanted_reservation(
+/// \return the number of tokens this node should have reserved once its used
+/// tokens are settled: enough for the turns in progress and the waiting turns
+/// that may start, and at a coordinator at least half of the unclaimed budget.
+std::uint64_t program_ledger::desired_reservation(
     program_state const& state, program_account const& account) const
 {
     auto const taken =
         account.spent + state.used + account.reserved_by_others(self_);
-    auto wanted = state.open;
+    auto wanted = state.in_flight;
     for (auto const& one : state.queue)
     {
         auto const fits =
@@ -151,44 +154,48 @@
             break;
         wanted += one.most_tokens;
     }
-    if (state.return_ahead || state.role != account_role::home ||
+    if (state.releasing || state.role != account_role::home ||
         taken >= state.budget)
         return wanted;
     auto const ahead = static_cast<std::uint64_t>(
-        static_cast<double>(state.budget - taken) * options_.part_ahead);
+        static_cast<double>(state.budget - taken) *
+        options_.reserve_ahead_fraction);
     return std::max(wanted, ahead);
 }
 
-/// \return the account as the store should have it before this node's next
-/// change: a new one sets aside what holders of leases may have handed out.
-program_account program_ledger::present_account(
+/// \return the account on which this node's next change is based. A new account
+/// holds in escrow the tokens that lease holders may have spent without the
+/// store.
+program_account program_ledger::base_account(
     program_id const& program, program_state const& state) const
 {
     if (state.account)
         return *state.account;
-    program_account to;
+    program_account made;
     if (leases_ == nullptr)
-        return to;
+        return made;
     auto const partition = partition_of(program.str());
-    for (auto const& one : leases_->others_who_may_start(partition))
-        to.reserved[one] = {start_allowance(state.budget), 0};
-    return to;
+    for (auto const& holder : leases_->others_who_may_start(partition))
+        made.reserved[holder] = {start_allowance(state.budget), 0};
+    return made;
 }
 
-void program_ledger::change(program_id const& program, program_state& state)
+void program_ledger::update_account(
+    program_id const& program, program_state& state)
 {
-    auto const account = present_account(program, state);
-    auto reservation = wanted_reservation(state, account);
+    auto const account = base_account(program, state);
+    auto reservation = desired_reservation(state, account);
     auto const waits = [&]
     {
         return !state.queue.empty() &&
-               reservation < state.open + state.queue.front().most_tokens;
+               reservation < state.in_flight + state.queue.front().most_tokens;
     };
-    // The account may be an old one: look again before turning a turn away.
-    if (waits() && state.tries > 0)
+    // The cached account may be outdated: read it again before rejecting a
+    // turn.
+    if (waits() && state.attempts > 0)
     {
-        state.abandoned = held_by_the_dead(state, account);
-        reservation = wanted_reservation(state, account);
+        state.abandoned = reservations_abandoned(state, account);
+        reservation = desired_reservation(state, account);
         if (waits())
         {
             answer_all(state, admission_answer::contended);
@@ -196,18 +203,18 @@
         }
     }
     auto const first_waits = waits();
-    ++state.tries;
+    ++state.attempts;
     if (first_waits)
-        reread(program);
+        read_account(program);
     else
-        send(program, state, reservation);
+        commit_reservation(program, state, reservation);
 }
 
-/// \return true where the reservations that keep a turn out are nobody's any
-/// more: all holders are known to be gone, or the account has not changed for
-/// longer than a live node would leave it. A turn that starts beside them can
-/// take the program past its budget by less than that turn, once.
-bool program_ledger::held_by_the_dead(
+/// \return true if the reservations that block a turn belong to failed nodes:
+/// all holders are known to have stopped, or the account has not changed for
+/// longer than a live node leaves it. A turn that starts beside them can exceed
+/// the program's budget by less than that turn, once.
+bool program_ledger::reservations_abandoned(
     program_state& state, program_account const& account) const
 {
     auto const now = clock_();
@@ -231,77 +238,78 @@
         });
 }
 
-void program_ledger::send(
+void program_ledger::commit_reservation(
     program_id const& program, program_state& state, std::uint64_t reservation)
 {
     sent_change sent;
     sent.number = ++last_change_;
-    sent.on_version = state.version;
+    sent.base_version = state.version;
     sent.reserved = reservation;
     sent.settled = state.used;
-    auto account = present_account(program, state);
+    auto account = base_account(program, state);
     account.spent += state.used;
     account.written_at = options_.utc();
     account.reserved[self_] = {reservation, sent.number};
-    row_transaction one;
+    row_transaction transaction;
     auto const at = address(program);
-    one.conditions.push_back({at, state.version});
+    transaction.conditions.push_back({at, state.version});
     if (state.version == 0 && leases_ != nullptr)
     {
         auto const lease = leases_->condition(at.partition);
-        one.conditions.push_back(lease);
+        transaction.conditions.push_back(lease);
         sent.lease_version = lease.version;
     }
-    one.writes.push_back({at, encode(account)});
+    transaction.writes.push_back({at, encode(account)});
     state.unresolved.push_back(sent);
-    state.changing = true;
+    state.change_pending = true;
     state.abandoned = false;
-    ++changes_under_way_;
+    ++changes_in_progress_;
     store_.commit(
-        std::move(one), options_.patience,
+        std::move(transaction), options_.store_timeout,
         [this, alive = alive_, program, sent, account,
          asked_at = clock_()](transaction_result const& result)
         {
             if (*alive)
-                changed(program, sent, account, asked_at, result);
+                on_committed(program, sent, account, asked_at, result);
         });
 }
 
-void program_ledger::changed(
+void program_ledger::on_committed(
     program_id const& program, sent_change const& sent,
     program_account const& account, time_point asked_at,
     transaction_result const& result)
 {
-    --changes_under_way_;
+    --changes_in_progress_;
     auto& state = programs_[program];
-    state.changing = false;
+    state.change_pending = false;
     if (result.outcome == store_outcome::done)
     {
         auto const at = address(program);
-        if (leases_ != nullptr && sent.on_version == 0)
+        if (leases_ != nullptr && sent.base_version == 0)
             leases_->held_at(at.partition, sent.lease_version, asked_at);
         stored_row const row{at, encode(account), result.version};
-        observe(program, state, &row);
-        state.tries = 0;
-        pump(program, state);
+        update_from_row(program, state, &row);
+        state.attempts = 0;
+        process_queue(program, state);
         return;
     }
     if (result.outcome == store_outcome::conflict)
     {
-        take_in_conflict(program, state, result.rows);
-        if (state.tries >= options_.conflict_tries)
+        update_from_conflict(program, state, result.rows);
+        if (state.attempts >= options_.max_conflict_attempts)
         {
             answer_all(state, admission_answer::contended);
             return;
         }
-        pump(program, state);
+        process_queue(program, state);
         return;
     }
-    store_is_away(program, state);
+    handle_store_unavailable(program, state);
 }
 
-/// A change's conditions did not hold: its rows are told as they are now.
-void program_ledger::take_in_conflict(
+/// Updates the account and the lease from the current rows, which the store
+/// reports when the conditions of a change do not hold.
+void program_ledger::update_from_conflict(
     program_id const& program, program_state& state,
     std::vector<stored_row> const& rows)
 {
@@ -315,12 +323,12 @@
         else if (leases_ != nullptr && row.at == lease)
             leases_->observe(at.partition, &row);
     }
-    observe(program, state, account);
+    update_from_row(program, state, account);
 }
 
-/// Without the store turns go on from what this node has reserved, or from the
-/// allowance of a program that surely has no account yet.
-void program_ledger::store_is_away(
+/// Without the store, turns continue from this node's reservation, or from the
+/// escrow of a program that certainly has no account yet.
+void program_ledger::handle_store_unavailable(
     program_id const& program, program_state& state)
 {
     auto const may_start = leases_ != nullptr && !state.queue.empty() &&
@@ -331,47 +339,48 @@
         leases_->started(program);
         state.reserved =
             std::max(state.reserved, start_allowance(state.budget));
-        serve_queue(state);
+        answer_decided_turns(state);
     }
     answer_all(state, admission_answer::store_unavailable);
 }
 
-void program_ledger::reread(program_id const& program)
+void program_ledger::read_account(program_id const& program)
 {
     auto const at = address(program);
     auto& state = programs_[program];
-    state.changing = true;
-    ++changes_under_way_;
+    state.change_pending = true;
+    ++changes_in_progress_;
     store_.read(
-        {at.table, at.partition, at.key, at.key + '\0'}, options_.patience,
+        {at.table, at.partition, at.key, at.key + '\0'}, options_.store_timeout,
         [this, alive = alive_, program](range_result result)
         {
             if (!*alive)
                 return;
-            --changes_under_way_;
+            --changes_in_progress_;
             auto& found = programs_[program];
-            found.changing = false;
+            found.change_pending = false;
             if (result.outcome != store_outcome::done)
             {
-                store_is_away(program, found);
+                handle_store_unavailable(program, found);
                 return;
             }
-            observe(
+            update_from_row(
                 program, found,
                 result.rows.empty() ? nullptr : &result.rows.front());
-            pump(program, found);
+            process_queue(program, found);
         });
 }
 
-/// Takes in the row as the store has it; a null pointer: there is none.
-void program_ledger::observe(
+/// Updates the state from the current row; null if the store has no row.
+void program_ledger::update_from_row(
     program_id const& program, program_state& state, stored_row const* row)
 {
     if (row != nullptr && leases_ != nullptr)
         leases_->account_seen(program);
     auto const version = row != nullptr ? row->version : 0;
     if (row != nullptr)
-        state.account = decode_account(row->value).value_or(spent_up());
+        state.account =
+            decode_account(row->value).value_or(exhausted_account());
     else
         state.account.reset();
     state.version = version;
@@ -380,21 +389,22 @@
     for (auto const& one : state.unresolved)
     {
         if (row != nullptr && one.number == own.change)
-            apply(state, one);
+            apply_change(state, one);
     }
-    // A change whose condition can't hold any more will never take effect.
+    // A change whose condition cannot hold any more never takes effect.
     state.unresolved.erase(
         std::remove_if(
             state.unresolved.begin(), state.unresolved.end(),
-            [&](sent_change const& one)
-            { return one.on_version != version || one.number == own.change; }),
+            [&](sent_change const& one) {
+                return one.base_version != version || one.number == own.change;
+            }),
         state.unresolved.end());
-    spend_forgotten(state);
+    charge_untracked_reservation(state);
 }
 
-/// What the row has reserved for this node although the node knows of nothing
-/// was reserved for a program that it has forgotten since: it may be spent.
-void program_ledger::spend_forgotten(program_state& state) const
+/// Counts a reservation of this node as spent if the node has no record of it:
+/// it was made before the program was removed from memory, and may be spent.
+void program_ledger::charge_untracked_reservation(program_state& state) const
 {
     if (!state.account || state.reserved > 0 || !state.unresolved.empty())
         return;
@@ -403,7 +413,7 @@
     own.tokens = 0;
 }
 
-void program_ledger::apply(program_state& state, sent_change const& sent)
+void program_ledger::apply_change(program_state& state, sent_change const& sent)
 {
     state.reserved = sent.reserved;
     state.used -= std::min(state.used, sent.settled);
@@ -419,31 +429,32 @@
 
 void program_ledger::settle(
     program_id const& program, std::uint64_t most_tokens,
-    std::uint64_t handed_out)
+    std::uint64_t delivered_tokens)
 {
     auto const found = programs_.find(program);
     if (found == programs_.end())
         return;
     auto& state = found->second;
-    state.open -= std::min(state.open, most_tokens);
-    state.used += handed_out;
+    state.in_flight -= std::min(state.in_flight, most_tokens);
+    state.used += delivered_tokens;
     state.last_use = clock_();
 }
 
-/// \return true where what the node has reserved for an idle program is
-/// better given back.
+/// \return true if the node should release its reservation for an idle program,
+/// or write the program's first account.
 bool program_ledger::should_settle(
     program_id const& program, program_state const& state, duration quiet) const
 {
-    if (state.role == account_role::guest)
+    if (state.role == account_role::fallback)
         return true;
-    auto const keeps = state.role == account_role::home && options_.is_home &&
-                       options_.is_home(program);
-    if (!keeps)
-        return quiet >= options_.idle_return;
-    // Started without the store, a program has no account yet, and its
-    // partition's lease waits for one.
-    return !state.account && quiet >= options_.write_new_after;
+    auto const keeps_reservation = state.role == account_role::home &&
+                                   options_.is_home &&
+                                   options_.is_home(program);
+    if (!keeps_reservation)
+        return quiet >= options_.idle_release_delay;
+    // A program that started without the store has no account yet, and its
+    // partition's lease is held until there is one.
+    return !state.account && quiet >= options_.new_account_write_delay;
 }
 
 void program_ledger::tick()
@@ -453,21 +464,21 @@
     {
         auto& state = it->second;
         auto const quiet = now - state.last_use;
-        auto const idle =
-            state.open == 0 && state.queue.empty() && !state.changing;
-        // A change in doubt may have reserved something, too.
+        auto const idle = state.in_flight == 0 && state.queue.empty() &&
+                          !state.change_pending;
+        // A change whose outcome is unknown may have reserved tokens, too.
         auto const unsettled =
             state.reserved > 0 || state.used > 0 || !state.unresolved.empty();
         if (idle && unsettled && should_settle(it->first, state, quiet))
         {
-            state.return_ahead = true;
-            state.tries = 0;
+            state.releasing = true;
+            state.attempts = 0;
             state.last_use = now;
-            change(it->first, state);
+            update_account(it->first, state);
         }
-        auto const kept_for =
-            unsettled ? options_.keep_idle : options_.forget_after;
-        if (idle && !state.changing && quiet >= kept_for)
+        auto const retention =
+            unsettled ? options_.idle_retention : options_.settled_retention;
+        if (idle && !state.change_pending && quiet >= retention)
             it = programs_.erase(it);
         else
             ++it;
@@ -479,14 +490,14 @@
     auto const now = clock_();
     for (auto& [program, state] : programs_)
     {
-        if (state.changing ||
-            (state.reserved <= state.open && state.used == 0) ||
-            (state.open == 0 &&
-             now - state.last_use >= options_.settle_at_stop))
+        if (state.change_pending ||
+            (state.reserved <= state.in_flight && state.used == 0) ||
+            (state.in_flight == 0 &&
+             now - state.last_use >= options_.shutdown_settle_window))
             continue;
-        state.return_ahead = true;
-        state.tries = 0;
-        change(program, state);
+        state.releasing = true;
+        state.attempts = 0;
+        update_account(program, state);
     }
 }
 
--- a/test/budget_desk-test.cpp
+++ b/test/budget_desk-test.cpp
@@ -21,47 +21,55 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Two nodes over real connections on the loopback: `home` serves, `asker`
-/// asks. The store is shared.
+/// Two nodes with a shared store, connected over loopback TCP: the coordinator
+/// serves, the requester sends requests.
 struct desk_fixture
 {
     asio::io_context io;
     fake_store store;
     manual_clock clock;
-    program_ledger home_ledger{store.calls(), clock.fn(), "home.1"};
-    program_ledger asker_ledger{store.calls(), clock.fn(), "asker.1"};
-    budget_desk home{io,         home_ledger,
-                     clock.fn(), "home",
-                     "home.1",   {milliseconds(150), milliseconds(20)}};
-    /// Its home may take long on a busy machine without being taken for dead.
-    desk_options patient{seconds(20), milliseconds(20)};
-    budget_desk asker{io, asker_ledger, clock.fn(), "asker", "asker.1"};
-    budget_desk patient_asker{io,      asker_ledger, clock.fn(),
-                              "asker", "asker.1",    patient};
-    bool store_answers = true;
+    program_ledger coordinator_ledger{
+        store.calls(), clock.fn(), "coordinator.1"};
+    program_ledger requester_ledger{store.calls(), clock.fn(), "requester.1"};
+    budget_desk home{
+        io,
+        coordinator_ledger,
+        clock.fn(),
+        "coordinator",
+        "coordinator.1",
+        {milliseconds(150), milliseconds(20)}};
+    /// With a timeout that does not expire on a busy machine.
+    desk_options patient_options{seconds(20), milliseconds(20)};
+    budget_desk requester{
+        io, requester_ledger, clock.fn(), "requester", "requester.1"};
+    budget_desk patient_requester{
+        io,          requester_ledger, clock.fn(),
+        "requester", "requester.1",    patient_options};
+    bool store_responds = true;
     tcp::acceptor acceptor{
         io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
     program_id program;
-    bool home_answers = true;
+    bool coordinator_replies = true;
     int settlements = 0;
     int admissions = 0;
 
     desk_fixture()
     {
         std::vector<home_candidate> const others{
-            {"home",
+            {"coordinator",
              "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port())}};
-        asker.set_nodes(others);
-        patient_asker.set_nodes(others);
-        program_homes const homes = [this]
+        requester.set_nodes(others);
+        patient_requester.set_nodes(others);
+        program_homes const coordinators = [this]
         {
-            program_homes one("asker");
-            one.set_nodes({{"home", "x:1"}});
+            program_homes one("requester");
+            one.set_nodes({{"coordinator", "x:1"}});
             return one;
         }();
         for (int i = 0;
              program.empty() ||
-             homes.home_of(partition_of(program.str()), clock.now()) == nullptr;
+             coordinators.home_of(partition_of(program.str()), clock.now()) ==
+                 nullptr;
              ++i)
             program = program_id("p" + std::to_string(i));
         accept();
@@ -98,7 +106,7 @@
             ++settlements;
         else
             ++admissions;
-        if (!home_answers)
+        if (!coordinator_replies)
             return;
         home.serve(
             target, request.body(),
@@ -112,8 +120,8 @@
             });
     }
 
-    /// Runs loop and store until the condition holds, or for long enough to
-    /// tell that it never will.
+    /// Runs the event loop and the store until the condition holds; fails after
+    /// 20 s.
     template<class Condition>
     void run_until(Condition const& holds)
     {
@@ -122,18 +130,18 @@
         {
             io.run_for(milliseconds(2));
             io.restart();
-            if (store_answers)
+            if (store_responds)
                 store.run();
         }
         REQUIRE(holds());
     }
 
     std::pair<admission_answer, budget_desk::grant>
-    ask(std::uint64_t budget, bool only_begun = false)
+    request_turn(std::uint64_t budget, bool only_begun = false)
     {
         std::pair<admission_answer, budget_desk::grant> to;
         bool answered = false;
-        asker.admit(
+        requester.admit(
             {program, budget, 572, only_begun},
             [&](admission_answer answer, budget_desk::grant grant)
             {
@@ -144,7 +152,7 @@
         return to;
     }
 
-    /// \return what the program's account has reserved, over all nodes.
+    /// \return the tokens reserved in the program's account over all nodes.
     std::uint64_t reserved() const
     {
         auto const* row = store.find(
@@ -158,123 +166,126 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a turn is admitted and settled at the home")
+    desk_fixture,
+    "budget desk: a turn is admitted and settled at the coordinator")
 {
-    auto const [answer, grant] = ask(900);
+    auto const [answer, grant] = request_turn(900);
     CHECK(answer == admission_answer::admitted);
-    CHECK(grant.home == "home");
-    CHECK(home_ledger.knows(program));
-    CHECK_FALSE(asker_ledger.knows(program));
-    asker.settle(grant, 264);
+    CHECK(grant.home == "coordinator");
+    CHECK(coordinator_ledger.knows(program));
+    CHECK_FALSE(requester_ledger.knows(program));
+    requester.settle(grant, 264);
     run_until([&] { return settlements == 1; });
-    // 264 of 900 are spent: one turn more fits, two would not.
-    CHECK(ask(900).first == admission_answer::admitted);
-    CHECK(ask(900).first != admission_answer::admitted);
+    // 264 of 900 tokens are spent: one more turn fits, two do not.
+    CHECK(request_turn(900).first == admission_answer::admitted);
+    CHECK(request_turn(900).first != admission_answer::admitted);
 }
 
-TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a settlement told twice counts once")
+TEST_CASE_METHOD(desk_fixture, "budget desk: a repeated settlement counts once")
 {
-    auto const first = ask(900).second;
-    asker.settle(first, 22);
-    auto const second = ask(900);
+    auto const first = request_turn(900).second;
+    requester.settle(first, 22);
+    auto const second = request_turn(900);
     REQUIRE(second.first == admission_answer::admitted);
-    asker.settle(first, 22);
+    requester.settle(first, 22);
     run_until([&] { return settlements == 2; });
-    // The second turn is still open, so a third does not fit.
-    CHECK(ask(900).first != admission_answer::admitted);
+    // The second turn is in progress, so a third does not fit.
+    CHECK(request_turn(900).first != admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
     desk_fixture,
-    "budget desk: where the home does not answer the node asks the store")
+    "budget desk: a node uses the store if the coordinator does not reply")
 {
-    home_answers = false;
-    auto const [answer, grant] = ask(900);
+    coordinator_replies = false;
+    auto const [answer, grant] = request_turn(900);
     CHECK(answer == admission_answer::admitted);
     CHECK(grant.home.empty());
-    CHECK(asker_ledger.knows(program));
+    CHECK(requester_ledger.knows(program));
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a program that has not begun may be held back")
+    desk_fixture, "budget desk: a program that has not started may be rejected")
 {
-    CHECK(ask(2'600, true).first == admission_answer::not_begun);
+    CHECK(request_turn(2'600, true).first == admission_answer::not_begun);
     CHECK(store.commits() == 0);
-    REQUIRE(ask(2'600).first == admission_answer::admitted);
-    CHECK(ask(2'600, true).first == admission_answer::admitted);
+    REQUIRE(request_turn(2'600).first == admission_answer::admitted);
+    CHECK(request_turn(2'600, true).first == admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a turn never settled counts as its most")
+    desk_fixture, "budget desk: an unsettled turn counts as its maximum")
 {
-    REQUIRE(ask(900).first == admission_answer::admitted);
+    REQUIRE(request_turn(900).first == admission_answer::admitted);
     clock.advance(seconds(60));
     home.tick();
-    home_ledger.tick();
+    coordinator_ledger.tick();
     store.run();
-    CHECK(ask(900).first == admission_answer::exhausted);
+    CHECK(request_turn(900).first == admission_answer::exhausted);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a home that waits for the store is waited for")
+    desk_fixture,
+    "budget desk: a node waits for a coordinator that waits for the store")
 {
-    store_answers = false;
+    store_responds = false;
     std::vector<budget_desk::grant> grants;
-    patient_asker.admit(
+    patient_requester.admit(
         {program, 900, 572, false},
         [&](admission_answer answer, budget_desk::grant const& grant)
         {
             CHECK(answer == admission_answer::admitted);
             grants.push_back(grant);
         });
-    // Asked again and again, it is one admission.
+    // Repeated requests count as one admission.
     run_until([&] { return admissions >= 4; });
     CHECK(grants.empty());
-    store_answers = true;
+    store_responds = true;
     run_until([&] { return !grants.empty(); });
-    CHECK(grants.front().home == "home");
-    CHECK_FALSE(asker_ledger.knows(program));
+    CHECK(grants.front().home == "coordinator");
+    CHECK_FALSE(requester_ledger.knows(program));
     CHECK(store.commits() == 1);
-    patient_asker.settle(grants.front(), 264);
+    patient_requester.settle(grants.front(), 264);
     run_until([&] { return settlements == 1; });
-    CHECK(ask(900).first == admission_answer::admitted);
-    CHECK(ask(900).first != admission_answer::admitted);
+    CHECK(request_turn(900).first == admission_answer::admitted);
+    CHECK(request_turn(900).first != admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: an admission that nobody waits for is undone")
+    desk_fixture, "budget desk: an abandoned admission is released")
 {
-    store_answers = false;
+    store_responds = false;
     auto answered = false;
-    patient_asker.admit(
+    patient_requester.admit(
         {program, 900, 572, false},
         [&](admission_answer, budget_desk::grant const&) { answered = true; });
     run_until([&] { return admissions >= 2; });
-    // It says that it went on without the home's answer.
-    patient_asker.settle(
-        {program, 572, "asker.1/1", "home",
+    // The settlement reports that the requester continued without a reply.
+    patient_requester.settle(
+        {program, 572, "requester.1/1", "coordinator",
          "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port())},
         0);
     run_until([&] { return settlements == 1; });
-    store_answers = true;
-    run_until([&] { return home_ledger.busy() == false; });
-    CHECK(ask(900).first == admission_answer::admitted);
+    store_responds = true;
+    run_until([&] { return coordinator_ledger.busy() == false; });
+    CHECK(request_turn(900).first == admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: in place of a home a turn's most is reserved")
+    desk_fixture, "budget desk: a fallback node reserves only a turn's maximum")
 {
-    home_answers = false;
-    REQUIRE(ask(9'000).first == admission_answer::admitted);
+    coordinator_replies = false;
+    REQUIRE(request_turn(9'000).first == admission_answer::admitted);
     CHECK(reserved() == 572);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: without knowing the others it takes little")
+    desk_fixture,
+    "budget desk: without known peers only a turn's maximum is reserved")
 {
-    budget_desk young{io, asker_ledger, clock.fn(), "asker", "asker.1"};
-    young.admit(
+    budget_desk starting_node{
+        io, requester_ledger, clock.fn(), "requester", "requester.1"};
+    starting_node.admit(
         {program, 9'000, 572, false, false},
         [](admission_answer, budget_desk::grant const&) {});
     store.run();
@@ -282,11 +293,13 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: alone it is home and reserves ahead")
+    desk_fixture,
+    "budget desk: a single node is the coordinator and reserves ahead")
 {
-    budget_desk alone{io, asker_ledger, clock.fn(), "asker", "asker.1"};
-    alone.set_nodes({});
-    alone.admit(
+    budget_desk single_node{
+        io, requester_ledger, clock.fn(), "requester", "requester.1"};
+    single_node.set_nodes({});
+    single_node.admit(
         {program, 9'000, 572, false, false},
         [](admission_answer, budget_desk::grant const&) {});
     store.run();
@@ -294,14 +307,15 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: the home tells where a turn left its prompt")
+    desk_fixture,
+    "budget desk: the coordinator reports where a prompt is cached")
 {
-    auto const first = ask(2'600).second;
+    auto const first = request_turn(2'600).second;
     CHECK(first.places.empty());
     engine_ref const engine(target_name("e1"), engine_incarnation{1'000});
-    asker.settle(first, 22, prompt_place{"line", 700, engine});
+    requester.settle(first, 22, prompt_place{"line", 700, engine});
     run_until([&] { return settlements == 1; });
-    auto const second = ask(2'600).second;
+    auto const second = request_turn(2'600).second;
     REQUIRE(second.places.size() == 1);
     CHECK(second.places[0].part == "line");
     CHECK(second.places[0].tokens == 700);
@@ -309,7 +323,7 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a home tells of its own turns, too")
+    desk_fixture, "budget desk: a coordinator reports its own turns, too")
 {
     budget_desk::grant own;
     bool answered = false;
@@ -322,16 +336,16 @@
         });
     run_until([&] { return answered; });
     home.settle(own, 22, prompt_place{"line", 700, target_name("e1")});
-    auto const told = ask(2'600).second.places;
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].engine == engine_ref(target_name("e1")));
+    auto const reported = request_turn(2'600).second.places;
+    REQUIRE(reported.size() == 1);
+    CHECK(reported[0].engine == engine_ref(target_name("e1")));
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a turn without a known end leaves no place")
+    desk_fixture, "budget desk: a turn without a known location reports none")
 {
-    auto const first = ask(2'600).second;
-    asker.settle(first, 0);
+    auto const first = request_turn(2'600).second;
+    requester.settle(first, 0);
     run_until([&] { return settlements == 1; });
-    CHECK(ask(2'600).second.places.empty());
+    CHECK(request_turn(2'600).second.places.empty());
 }
--- a/test/program_ledger-test.cpp
+++ b/test/program_ledger-test.cpp
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint64_t most = 572;
+constexpr std::uint64_t max_turn_tokens = 572;
 
 struct ledger_fixture
 {
@@ -36,19 +36,19 @@
         return *nodes.back();
     }
 
-    program_ledger& start_home()
+    program_ledger& start_coordinator()
     {
         options.is_home = [](program_id const&) { return true; };
         return start_node();
     }
 
-    /// A turn that spends 100 tokens, and a pause after it.
+    /// Runs a turn that spends 100 tokens, followed by a pause.
     admission_answer
-    take_turn(program_ledger& node, std::uint64_t budget, duration pause)
+    run_turn(program_ledger& node, std::uint64_t budget, duration pause)
     {
-        auto const answer = ask(node, budget);
+        auto const answer = request_turn(node, budget);
         if (answer == admission_answer::admitted)
-            node.settle(program, most, 100);
+            node.settle(program, max_turn_tokens, 100);
         for (auto left = pause; left.count() > 0; left -= milliseconds(200))
         {
             clock.advance(milliseconds(200));
@@ -58,8 +58,9 @@
         return answer;
     }
 
-    admission_answer
-    ask(program_ledger& node, std::uint64_t budget, std::uint64_t tokens = most)
+    admission_answer request_turn(
+        program_ledger& node, std::uint64_t budget,
+        std::uint64_t tokens = max_turn_tokens)
     {
         auto answer = admission_answer::store_unavailable;
         int answers = 0;
@@ -92,22 +93,23 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a first turn is admitted with one change")
+    ledger_fixture, "ledger: a first turn is admitted with one write")
 {
     auto& node = start_node();
-    CHECK(ask(node, 9'000) == admission_answer::admitted);
+    CHECK(request_turn(node, 9'000) == admission_answer::admitted);
     CHECK(store.commits() == 1);
-    CHECK(account().reserved_by_others("") >= most);
+    CHECK(account().reserved_by_others("") >= max_turn_tokens);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: turns ahead need no change while budget is ample")
+    ledger_fixture,
+    "ledger: later turns need no write while the reservation lasts")
 {
     auto& node = start_node();
     for (int turn = 0; turn < 4; ++turn)
     {
-        REQUIRE(ask(node, 9'000) == admission_answer::admitted);
-        node.settle(program, most, 264);
+        REQUIRE(request_turn(node, 9'000) == admission_answer::admitted);
+        node.settle(program, max_turn_tokens, 264);
     }
     store.run();
     CHECK(store.commits() == 1);
@@ -119,82 +121,84 @@
     auto& first = start_node();
     auto& second = start_node();
     std::uint64_t spent = 0;
-    while (ask(first, 2'600) == admission_answer::admitted)
+    while (request_turn(first, 2'600) == admission_answer::admitted)
     {
-        first.settle(program, most, 500);
+        first.settle(program, max_turn_tokens, 500);
         store.run();
         spent += 500;
         REQUIRE(spent <= 2'600);
     }
-    CHECK(ask(first, 2'600) == admission_answer::exhausted);
-    CHECK(ask(second, 2'600) == admission_answer::contended);
+    CHECK(request_turn(first, 2'600) == admission_answer::exhausted);
+    CHECK(request_turn(second, 2'600) == admission_answer::contended);
     clock.advance(seconds(1));
     first.tick();
     store.run();
-    CHECK(ask(second, 2'600) == admission_answer::exhausted);
-    CHECK(2'600 - spent < most);
+    CHECK(request_turn(second, 2'600) == admission_answer::exhausted);
+    CHECK(2'600 - spent < max_turn_tokens);
 }
 
 TEST_CASE_METHOD(
     ledger_fixture,
-    "ledger: a turn that others' reservations keep out is contended")
+    "ledger: a turn blocked by others' reservations is contended")
 {
     auto& first = start_node();
     auto& second = start_node();
-    REQUIRE(ask(first, 900) == admission_answer::admitted);
-    CHECK(ask(second, 900) == admission_answer::contended);
-    first.settle(program, most, 22);
+    REQUIRE(request_turn(first, 900) == admission_answer::admitted);
+    CHECK(request_turn(second, 900) == admission_answer::contended);
+    first.settle(program, max_turn_tokens, 22);
     clock.advance(seconds(1));
     first.tick();
     store.run();
-    CHECK(ask(second, 900) == admission_answer::admitted);
+    CHECK(request_turn(second, 900) == admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a node that is no home reserves its turn alone")
+    ledger_fixture, "ledger: a fallback node reserves only what its turn needs")
 {
-    auto& guest = start_node();
+    auto& fallback_node = start_node();
     auto answer = admission_answer::store_unavailable;
-    guest.admit(
-        program, 9'000, most, [&](admission_answer one) { answer = one; },
-        false, account_role::guest);
+    fallback_node.admit(
+        program, 9'000, max_turn_tokens,
+        [&](admission_answer one) { answer = one; }, false,
+        account_role::fallback);
     store.run();
     CHECK(answer == admission_answer::admitted);
-    CHECK(account().reserved_by_others("") == most);
+    CHECK(account().reserved_by_others("") == max_turn_tokens);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a node that is no home gives back at once")
+    ledger_fixture, "ledger: a fallback node releases its reservation at once")
 {
-    auto& guest = start_node();
-    guest.admit(
-        program, 9'000, most, [](admission_answer) {}, false,
-        account_role::guest);
+    auto& fallback_node = start_node();
+    fallback_node.admit(
+        program, 9'000, max_turn_tokens, [](admission_answer) {}, false,
+        account_role::fallback);
     store.run();
-    guest.settle(program, most, 100);
-    guest.tick();
+    fallback_node.settle(program, max_turn_tokens, 100);
+    fallback_node.tick();
     store.run();
     CHECK(account().reserved_by_others("") == 0);
     CHECK(account().spent == 100);
 }
 
-// Load: a line of ten turns through one node that does not know the home, a
-// pause of 100 ms after each. Given back at once after each turn, 20 writes.
-// Aim: one a turn and one at the end.
+// Guards against two writes per turn at a node that does not know the
+// coordinator. Ten turns with a pause of 100 ms after each cost 20 writes if
+// each turn's reservation is released at once. The limit is one write per turn
+// and one at the end.
 TEST_CASE_METHOD(
     ledger_fixture,
-    "ledger: a node that knows no home keeps a reservation for the next turn")
+    "ledger: without a known coordinator a reservation is kept for a turn")
 {
     auto& node = start_node();
     for (int turn = 0; turn < 10; ++turn)
     {
         node.admit(
-            program, 9'000, most, [](admission_answer) {}, false,
+            program, 9'000, max_turn_tokens, [](admission_answer) {}, false,
             account_role::unknown);
         store.run();
-        CHECK(account().reserved_by_others("") == most);
+        CHECK(account().reserved_by_others("") == max_turn_tokens);
         clock.advance(milliseconds(300));
-        node.settle(program, most, 34);
+        node.settle(program, max_turn_tokens, 34);
         node.tick();
         store.run();
         clock.advance(milliseconds(100));
@@ -209,12 +213,11 @@
     CHECK(account().reserved_by_others("") == 0);
 }
 
-TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a reservation that lies idle is given back")
+TEST_CASE_METHOD(ledger_fixture, "ledger: an idle reservation is released")
 {
     auto& node = start_node();
-    REQUIRE(ask(node, 9'000) == admission_answer::admitted);
-    node.settle(program, most, 264);
+    REQUIRE(request_turn(node, 9'000) == admission_answer::admitted);
+    node.settle(program, max_turn_tokens, 264);
     clock.advance(seconds(1));
     node.tick();
     store.run();
@@ -224,87 +227,89 @@
 
 TEST_CASE_METHOD(
     ledger_fixture,
-    "ledger: without the store only what was reserved is handed out")
+    "ledger: without the store only reserved tokens are granted")
 {
     auto& node = start_node();
-    REQUIRE(ask(node, 9'000) == admission_answer::admitted);
+    REQUIRE(request_turn(node, 9'000) == admission_answer::admitted);
     store.set_down(true);
     int admitted = 1;
-    while (ask(node, 9'000) == admission_answer::admitted)
+    while (request_turn(node, 9'000) == admission_answer::admitted)
         ++admitted;
-    // Half of 9,000 was reserved, and 572 of it go to each turn.
+    // Half of 9,000 tokens is reserved, and each turn takes 572 of them.
     CHECK(admitted == 7);
-    CHECK(ask(node, 9'000) == admission_answer::store_unavailable);
+    CHECK(request_turn(node, 9'000) == admission_answer::store_unavailable);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: what a dead node had reserved counts as spent")
+    ledger_fixture, "ledger: a failed node's reservation counts as spent")
 {
-    auto& dead = start_node();
-    REQUIRE(ask(dead, 572) == admission_answer::admitted);
+    auto& failed = start_node();
+    REQUIRE(request_turn(failed, 572) == admission_answer::admitted);
     nodes.clear();
     auto& next = start_node();
     for (int second = 0; second < 10; ++second)
     {
-        CHECK(ask(next, 572) != admission_answer::admitted);
+        CHECK(request_turn(next, 572) != admission_answer::admitted);
         clock.advance(seconds(1));
     }
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: one turn starts beside a dead node's reservation")
+    ledger_fixture,
+    "ledger: one turn starts beside a failed node's reservation")
 {
-    auto& dead = start_node();
-    REQUIRE(ask(dead, 900) == admission_answer::admitted);
+    auto& failed = start_node();
+    REQUIRE(request_turn(failed, 900) == admission_answer::admitted);
     nodes.clear();
     auto& next = start_node();
-    CHECK(ask(next, 900) == admission_answer::contended);
+    CHECK(request_turn(next, 900) == admission_answer::contended);
     clock.advance(seconds(2));
-    CHECK(ask(next, 900) == admission_answer::admitted);
-    CHECK(ask(next, 900) != admission_answer::admitted);
+    CHECK(request_turn(next, 900) == admission_answer::admitted);
+    CHECK(request_turn(next, 900) != admission_answer::admitted);
     clock.advance(seconds(2));
-    CHECK(ask(next, 900) != admission_answer::admitted);
+    CHECK(request_turn(next, 900) != admission_answer::admitted);
 }
 
 namespace
 {
 
-/// Plays turns of one program over three nodes that may die, with faults at
-/// the given steps.
-/// \param homes each node takes itself for the program's home
-/// \return tokens handed out.
-std::uint64_t play(
+/// Simulates turns of one program over three nodes that may fail, with store
+/// faults at the given steps.
+/// \param all_coordinators each node considers itself the coordinator
+/// \return the number of tokens delivered.
+std::uint64_t simulate(
     std::uint32_t seed, std::uint64_t budget,
     std::vector<std::pair<std::size_t, store_fault>> const& faults,
-    bool homes = false)
+    bool all_coordinators = false)
 {
     ledger_fixture world;
-    if (homes)
+    if (all_coordinators)
     {
         world.options.is_home = [](program_id const&) { return true; };
-        world.options.keep_idle = seconds(2);
+        world.options.idle_retention = seconds(2);
     }
     for (auto const& [step, fault] : faults)
         world.store.fail_step(step, fault);
     auto random = seeded_random(seed);
     for (int i = 0; i < 3; ++i)
         world.start_node();
-    std::uint64_t handed = 0;
+    std::uint64_t delivered = 0;
     for (int turn = 0; turn < 40; ++turn)
     {
         auto const at = static_cast<std::size_t>(random() * 3);
         auto& node = *world.nodes[at];
         node.admit(
-            world.program, budget, most,
+            world.program, budget, max_turn_tokens,
             [&, at](admission_answer answer)
             {
                 if (answer != admission_answer::admitted)
                     return;
-                auto const used =
-                    static_cast<std::uint64_t>(random() * (most + 1));
-                handed += used;
+                auto const used = static_cast<std::uint64_t>(
+                    random() * (max_turn_tokens + 1));
+                delivered += used;
                 if (random() < 0.9)
-                    world.nodes[at]->settle(world.program, most, used);
+                    world.nodes[at]->settle(
+                        world.program, max_turn_tokens, used);
             });
         if (random() < 0.7)
             world.store.run();
@@ -319,11 +324,11 @@
             one->tick();
     }
     world.store.run();
-    return handed;
+    return delivered;
 }
 
-/// Plays a program of 6,000 tokens with each kind of fault at each step.
-void holds_with_one_fault(bool homes_keep)
+/// Simulates a program of 6,000 tokens with each kind of fault at each step.
+void check_budget_with_one_fault(bool all_coordinators)
 {
     for (std::uint32_t seed = 1; seed <= 12; ++seed)
     {
@@ -335,8 +340,8 @@
                     "seed " << seed << " step " << step << " fault "
                             << static_cast<int>(fault));
                 REQUIRE(
-                    play(seed, 6'000, {{step, fault}}, homes_keep) <
-                    6'000 + most);
+                    simulate(seed, 6'000, {{step, fault}}, all_coordinators) <
+                    6'000 + max_turn_tokens);
             }
         }
     }
@@ -346,7 +351,7 @@
 
 TEST_CASE("ledger: the budget holds with one fault at every step")
 {
-    holds_with_one_fault(false);
+    check_budget_with_one_fault(false);
 }
 
 TEST_CASE("ledger: the budget holds with pairs of faults")
@@ -362,10 +367,10 @@
                     for (auto const second : all_store_faults)
                     {
                         REQUIRE(
-                            play(
+                            simulate(
                                 seed, 3'000,
                                 {{step, first}, {step + gap, second}}) <
-                            3'000 + most);
+                            3'000 + max_turn_tokens);
                     }
                 }
             }
@@ -373,57 +378,70 @@
     }
 }
 
-TEST_CASE("ledger: the budget holds where homes keep what they reserved")
+TEST_CASE("ledger: the budget holds where coordinators keep reservations")
 {
-    holds_with_one_fault(true);
+    check_budget_with_one_fault(true);
 }
 
-// Four turns with pauses of a second, the usual program: 1 write instead of 5,
-// as each pause gave the reservation back and each turn took it anew.
+// Guards against a coordinator that releases its reservation in each pause and
+// reserves again for each turn. A typical program of four turns with pauses of
+// 1 s costs 1 write instead of 5.
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a program with pauses costs its home one write")
+    ledger_fixture,
+    "ledger: a program with pauses costs its coordinator one write")
 {
-    auto& home = start_home();
+    auto& coordinator = start_coordinator();
     for (int i = 0; i < 4; ++i)
-        CHECK(take_turn(home, 6'000, seconds(1)) == admission_answer::admitted);
+        CHECK(
+            run_turn(coordinator, 6'000, seconds(1)) ==
+            admission_answer::admitted);
     CHECK(store.commits() == 1);
 }
 
 TEST_CASE_METHOD(
     ledger_fixture,
-    "ledger: a home's programs go on after a pause without the store")
+    "ledger: a coordinator admits turns after a pause without the store")
 {
-    auto& home = start_home();
-    REQUIRE(take_turn(home, 6'000, seconds(1)) == admission_answer::admitted);
+    auto& coordinator = start_coordinator();
+    REQUIRE(
+        run_turn(coordinator, 6'000, seconds(1)) == admission_answer::admitted);
     store.set_down(true);
     for (int i = 0; i < 3; ++i)
-        CHECK(take_turn(home, 6'000, seconds(1)) == admission_answer::admitted);
+        CHECK(
+            run_turn(coordinator, 6'000, seconds(1)) ==
+            admission_answer::admitted);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: what a home has forgotten counts as spent")
+    ledger_fixture, "ledger: a reservation dropped from memory counts as spent")
 {
-    options.keep_idle = seconds(5);
-    auto& home = start_home();
-    REQUIRE(take_turn(home, 6'000, seconds(10)) == admission_answer::admitted);
-    CHECK(home.programs() == 0);
-    auto const held = account().reserved.begin()->second.tokens;
-    CHECK(held == 3'000);
-    REQUIRE(ask(home, 6'000) == admission_answer::admitted);
-    CHECK(account().spent == held);
+    options.idle_retention = seconds(5);
+    auto& coordinator = start_coordinator();
+    REQUIRE(
+        run_turn(coordinator, 6'000, seconds(10)) ==
+        admission_answer::admitted);
+    CHECK(coordinator.programs() == 0);
+    auto const reserved = account().reserved.begin()->second.tokens;
+    CHECK(reserved == 3'000);
+    REQUIRE(request_turn(coordinator, 6'000) == admission_answer::admitted);
+    CHECK(account().spent == reserved);
 }
 
 TEST_CASE_METHOD(
-    ledger_fixture, "ledger: a node that stops settles programs under way only")
+    ledger_fixture,
+    "ledger: a node that shuts down settles recent programs only")
 {
-    auto& home = start_home();
-    REQUIRE(take_turn(home, 6'000, seconds(1)) == admission_answer::admitted);
-    home.settle_all();
+    auto& coordinator = start_coordinator();
+    REQUIRE(
+        run_turn(coordinator, 6'000, seconds(1)) == admission_answer::admitted);
+    coordinator.settle_all();
     store.run();
     CHECK(account().spent == 100);
-    REQUIRE(take_turn(home, 6'000, seconds(20)) == admission_answer::admitted);
+    REQUIRE(
+        run_turn(coordinator, 6'000, seconds(20)) ==
+        admission_answer::admitted);
     auto const commits = store.commits();
-    home.settle_all();
+    coordinator.settle_all();
     store.run();
     CHECK(store.commits() == commits);
 }
