--- a/include/walnutmill/stall_policy.hpp
+++ b/include/walnutmill/stall_policy.hpp
@@ -2,19 +2,19 @@
 #define WALNUTMILL_STALL_POLICY_HPP
 
 /// \file
-/// How long an engine may be silent before a call counts as stalled there, and
-/// how many stalled calls a node sends again.
+/// Decides how long an engine may be silent before a call counts as stalled,
+/// and how many stalled calls a node retries.
 ///
-/// Load pattern: an engine takes calls and never answers some of them, or
+/// Load pattern: an engine accepts calls and never answers some of them, or
 /// stops in the middle of a stream, while its connections stay open and its
-/// load looks usual; or connections fall silent without a reset. Without it
-/// each such call is held until its deadline (3 s on the sites' routes) or
-/// until its caller leaves, nobody learns of the engine, and every program
-/// that meets it loses a turn.
+/// load looks normal; or connections fall silent without a reset. Without stall
+/// detection each such call is held until its deadline (3 s on the sites'
+/// routes) or until its caller disconnects, the fault of the engine stays
+/// undetected, and every program that is sent there loses a turn.
 ///
-/// A call that may run again is ended at the stalled engine and goes on at
-/// another one, or at the same one where no other is allowed. One that may not
-/// keeps waiting; only its engine is thought worse of.
+/// A repeatable call is aborted at the stalled engine and retried at another
+/// one, or at the same one if no other is allowed. A call that is not
+/// repeatable keeps waiting; the stall only lowers the engine's health.
 
 #include <walnutmill/clock.hpp>
 
@@ -25,46 +25,48 @@
 
 struct stall_options
 {
-    /// Silence that is always borne: fifteen times the usual time between two
-    /// events (22 tokens at 1.2 to 1.6 ms), and longer than what a lost packet
-    /// and its repetition take (200 ms).
+    /// Lower bound of the stall timeout. It is fifteen times the usual time
+    /// between two events (22 tokens at 1.2 to 1.6 ms each), and longer than
+    /// the retransmission of a lost packet takes (200 ms).
     std::chrono::milliseconds least{400};
-    /// Silence borne beyond that, in times of what was expected of the engine.
-    /// A turn's first event comes within four times its estimate in 99 of 100
-    /// turns while no engine queues; plain calls vary more (their longest take
-    /// four to eight times their mean with three customers).
+    /// Silence tolerated in addition, as a multiple of the expected time. In 99
+    /// of 100 turns the first event arrives within four times its estimate
+    /// while no engine has a queue. Plain calls vary more: with three customers
+    /// the longest take four to eight times the mean.
     double turn_factor = 4;
     double plain_factor = 8;
-    /// Part of the calls that may be sent again for being stalled, and the
-    /// most that may be saved up. Where most calls stall the engines are
-    /// overloaded or gone, and repeating them only adds to it.
-    double repeated_part = 0.1;
-    double most_saved = 10;
+    /// Retries of stalled calls as a fraction of all calls, and the upper bound
+    /// of retries that can accumulate. If most calls stall, the engines are
+    /// overloaded or down, and retries only add load.
+    double retry_ratio = 0.1;
+    double max_balance = 10;
 };
 
 /// \param expected time until the engine's next bytes, as estimated when the
 /// call was sent
-/// \param is_turn at a model engine
-/// \param stalls earlier ones of the same call: each doubles the silence that
-/// is borne, so that a call whose work takes long comes to its end
+/// \param is_turn true for a call to a model engine
+/// \param stalls previous stalls of the same call. Each one doubles the
+/// timeout, so that a call that needs long can complete.
+/// \return silence after which the call counts as stalled
 duration stall_patience(
     duration expected, bool is_turn, int stalls, stall_options const& options);
 
-/// Bounds how many stalled calls are sent again to a part of all calls.
+/// Limits retries of stalled calls to a fraction of all calls.
 class repeat_allowance
 {
 public:
     explicit repeat_allowance(stall_options const& options = {});
 
-    /// A call was sent for the first time.
+    /// Records the first attempt of a call.
     void call_sent();
-    /// \return false where a stalled call should rather stay where it is.
-    bool take();
+    /// Spends one retry.
+    /// \return false if the budget is used up and the call should keep waiting.
+    bool try_spend();
 
 private:
-    double part_;
-    double most_;
-    double saved_;
+    double retry_ratio_;
+    double max_balance_;
+    double balance_;
 };
 
 } // namespace walnutmill
--- a/src/entry/call_limits.hpp
+++ b/src/entry/call_limits.hpp
@@ -2,7 +2,7 @@
 #define WALNUTMILL_SRC_ENTRY_CALL_LIMITS_HPP
 
 /// \file
-/// Times and statuses that the parts of a call's life share.
+/// Time limits and HTTP statuses shared by the parts of class call_flow.
 
 #include <walnutmill/clock.hpp>
 
@@ -12,24 +12,24 @@
 namespace walnutmill
 {
 
-/// The answer is sent this long before the caller's own deadline, so that it
-/// still arrives: the way to a caller takes 1 to 3 ms, a slow node's loop up
-/// to some 20.
+/// The answer is sent this long before the caller's deadline, so that it
+/// arrives in time. The network path to a caller takes 1 to 3 ms, and the event
+/// loop of a slow node up to about 20 ms.
 constexpr std::chrono::milliseconds deadline_margin{30};
-/// Returns after a refusal are spread over this much from its start: an
-/// engine's calls end within half a second.
+/// Minimum retry delay after a refusal, and the range of the jitter added to
+/// it. The calls of an engine end within half a second.
 constexpr std::chrono::milliseconds come_back_soon{120};
 constexpr std::chrono::milliseconds come_back_spread{250};
 
-/// Times that one call is sent: to engines that refuse it, can't be reached,
-/// or break off. Six draws miss a sound engine once in a million where one in
-/// ten is not.
+/// Maximum number of times that one call is sent to engines, including those
+/// that refuse it, are unreachable or break off. If one in ten engines is
+/// unhealthy, six attempts all fail once in a million calls.
 constexpr int most_sends = 6;
 
-/// First status that tells of a failure at the server.
+/// Lowest HTTP status of a server error.
 constexpr int status_server_error = 500;
 
-/// \return whole milliseconds, for log lines.
+/// \return the time in whole milliseconds, for log lines
 inline std::int64_t ms_count(duration time)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
--- a/src/entry/call_rank.cpp
+++ b/src/entry/call_rank.cpp
@@ -7,25 +7,26 @@
 namespace
 {
 
-/// Ranks in the engines' queues; 5 is what calls without a rank get.
-constexpr std::uint32_t rank_in_time = 3;
-constexpr std::uint32_t rank_late = 7;
-/// A route's own rank shifts a call's by this much at most.
-constexpr std::uint32_t route_ranks = 2;
+/// Ranks in the engines' queues. Calls without a rank get 5.
+constexpr std::uint32_t on_time_rank = 3;
+constexpr std::uint32_t late_rank = 7;
+/// Maximum amount by which a route's rank raises that of its calls.
+constexpr std::uint32_t max_route_rank = 2;
 
-/// Length of a turn where nothing is said of it: the mean of two customers'
-/// programs (34 at a third one, whose routes state a lower most).
-constexpr std::uint32_t usual_output = 260;
+/// Output tokens assumed for a turn without a hint. It is the mean of two
+/// customers' programs. A third one has a mean of 34, but its routes set a
+/// lower maximum.
+constexpr std::uint32_t default_output_tokens = 260;
 
 } // namespace
 
 std::uint32_t rank_of(call const& one, route const& to, duration waited)
 {
-    auto const by_route =
-        std::min(one.owner_rank.value_or(to.rank), route_ranks);
+    auto const route_rank =
+        std::min(one.owner_rank.value_or(to.rank), max_route_rank);
     if (one.program.finish_in && *one.program.finish_in <= waited)
-        return rank_late + std::min(by_route, 1U);
-    return rank_in_time + by_route;
+        return late_rank + std::min(route_rank, 1U);
+    return on_time_rank + route_rank;
 }
 
 std::uint32_t expected_output(call const& one)
@@ -35,8 +36,8 @@
             one.hinted_output_tokens,
             std::max(one.max_output_tokens, one.hinted_output_tokens));
     if (one.max_output_tokens > 0)
-        return std::min(one.max_output_tokens, usual_output);
-    return usual_output;
+        return std::min(one.max_output_tokens, default_output_tokens);
+    return default_output_tokens;
 }
 
 } // namespace walnutmill
--- a/src/entry/call_rank.hpp
+++ b/src/entry/call_rank.hpp
@@ -2,12 +2,13 @@
 #define WALNUTMILL_SRC_ENTRY_CALL_RANK_HPP
 
 /// \file
-/// How urgent a call is in an engine's own queue, and how long it may be.
+/// Computes the rank of a call in an engine's queue and its expected output
+/// length.
 ///
-/// Load pattern: more turns than slots for seconds. The engines serve calls
-/// of all nodes, so their queues, ordered by rank, do what no node's own
-/// queue can. Without ranks a program that is late already delays those that
-/// can still be in time.
+/// Load pattern: more turns than slots for several seconds. Engines serve the
+/// calls of all nodes, so only their queues can order calls across nodes.
+/// Without ranks, a program that has already missed its deadline delays those
+/// that can still meet theirs.
 
 #include <walnutmill/call.hpp>
 #include <walnutmill/routing_table.hpp>
@@ -17,10 +18,11 @@
 namespace walnutmill
 {
 
-/// \return 0 (first) to 9.
+/// \param waited time since the call arrived
+/// \return rank from 0 (served first) to 9
 std::uint32_t rank_of(call const& one, route const& to, duration waited);
 
-/// \return the tokens that a turn will likely generate.
+/// \return the number of tokens that a turn is expected to generate
 std::uint32_t expected_output(call const& one);
 
 } // namespace walnutmill
--- a/src/entry/call_stalls.cpp
+++ b/src/entry/call_stalls.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The part of a call's life in which its engine is silent for too long.
+/// The part of class call_flow that detects and handles stalled engines.
 
 #include "entry/call_flow.hpp"
 
@@ -8,7 +8,8 @@
 namespace walnutmill
 {
 
-/// One timer a call, set anew only when it fires: events come every 30 ms.
+/// Uses one timer per call and rearms it only when it fires, since events
+/// arrive every 30 ms.
 void call_flow::watch_for_stall(attempt_ptr const& one)
 {
     if (done_ || one->ended)
@@ -31,28 +32,29 @@
     }
     node_.board.stalled(one->at.ref());
     node_.links.drop_idle(one->at.engine);
-    auto const leaves = may_leave(one);
-    note_attempt(one, leaves ? "stalled, left" : "stalled, waits on");
-    if (!leaves)
+    auto const retries = may_leave(one);
+    note_attempt(one, retries ? "stalled, left" : "stalled, waits on");
+    if (!retries)
         return;
     ++stalls_;
-    // The engine was told of already, as stalled.
+    // The load balancer already knows of the stall, so the outcome is not
+    // counted again.
     end_attempt(one, engine_outcome::abandoned);
     one->link->close();
     retry_or_fail(one, false);
 }
 
-/// \return true where the call should be ended at its silent engine and be
-/// sent again.
+/// \return true if the call should be aborted at its silent engine and be
+/// retried.
 bool call_flow::may_leave(attempt_ptr const& one)
 {
     if (route_->repeats != repeatability::idempotent || sends_ >= most_sends)
         return false;
-    // At the same engine a call that waits for a slot would only lose its
-    // place in the queue.
-    auto const waits_there = one->at.load >= one->at.slots;
-    return (may_run_elsewhere(one->at.ref()) || !waits_there) &&
-           node_.repeats.take();
+    // Retrying a queued call at the same engine would only lose its position
+    // in the queue.
+    auto const is_queued = one->at.load >= one->at.slots;
+    return (may_run_elsewhere(one->at.ref()) || !is_queued) &&
+           node_.repeats.try_spend();
 }
 
 } // namespace walnutmill
--- a/src/entry/outage_policy.cpp
+++ b/src/entry/outage_policy.cpp
@@ -7,27 +7,30 @@
 namespace
 {
 
-duration part_of(duration whole, double part)
+duration fraction_of(duration total, double fraction)
 {
-    return duration(
-        static_cast<duration::rep>(static_cast<double>(whole.count()) * part));
+    return duration(static_cast<duration::rep>(
+        static_cast<double>(total.count()) * fraction));
 }
 
 } // namespace
 
-bool should_come_back(outage_call const& one, outage_options const& options)
+bool should_come_back(outage_call const& call, outage_options const& options)
 {
-    return one.lost_for >= options.short_outage &&
-           one.time_left > part_of(one.whole_time, options.fresh_part);
+    return call.lost_for >= options.short_outage &&
+           call.time_left >
+               fraction_of(call.whole_time, options.first_attempt_time_ratio);
 }
 
 std::chrono::milliseconds
-come_back_in_outage(outage_call const& one, outage_options const& options)
+come_back_in_outage(outage_call const& call, outage_options const& options)
 {
-    auto const most = part_of(one.time_left, options.come_back_part);
-    auto const least = std::min<duration>(options.soonest, most);
+    auto const max_delay =
+        fraction_of(call.time_left, options.max_retry_after_ratio);
+    auto const min_delay =
+        std::min<duration>(options.min_retry_after, max_delay);
     return std::chrono::duration_cast<std::chrono::milliseconds>(
-        std::clamp(one.lost_for, least, most));
+        std::clamp(call.lost_for, min_delay, max_delay));
 }
 
 } // namespace walnutmill
--- a/src/entry/prompt_places.cpp
+++ b/src/entry/prompt_places.cpp
@@ -7,34 +7,35 @@
 namespace walnutmill
 {
 
-prompt_places::prompt_places(clock_fn clock, places_options options)
+prompt_places::prompt_places(clock_fn clock, prefix_location_options options)
     : clock_(std::move(clock)), options_(options)
 {
 }
 
-void prompt_places::note(program_id const& program, prompt_place place)
+void prompt_places::note(program_id const& program, prompt_place new_location)
 {
-    if (programs_.count(program) == 0 && programs_.size() >= options_.programs)
+    if (programs_.count(program) == 0 &&
+        programs_.size() >= options_.max_programs)
         return;
-    auto& known = programs_[program];
-    known.noted_at = clock_();
-    auto& lines = known.lines;
-    lines.erase(
+    auto& entry = programs_[program];
+    entry.recorded_at = clock_();
+    auto& locations = entry.locations;
+    locations.erase(
         std::remove_if(
-            lines.begin(), lines.end(),
-            [&place](prompt_place const& one)
-            { return one.part == place.part; }),
-        lines.end());
-    if (lines.size() >= options_.lines)
-        lines.erase(lines.begin());
-    lines.push_back(std::move(place));
+            locations.begin(), locations.end(),
+            [&new_location](prompt_place const& location)
+            { return location.part == new_location.part; }),
+        locations.end());
+    if (locations.size() >= options_.max_conversations)
+        locations.erase(locations.begin());
+    locations.push_back(std::move(new_location));
 }
 
 std::vector<prompt_place> prompt_places::of(program_id const& program) const
 {
     auto const found = programs_.find(program);
     return found == programs_.end() ? std::vector<prompt_place>()
-                                    : found->second.lines;
+                                    : found->second.locations;
 }
 
 void prompt_places::sweep()
@@ -42,8 +43,9 @@
     auto const now = clock_();
     for (auto it = programs_.begin(); it != programs_.end();)
     {
-        it = now - it->second.noted_at > options_.kept_for ? programs_.erase(it)
-                                                           : std::next(it);
+        it = now - it->second.recorded_at > options_.retention
+                 ? programs_.erase(it)
+                 : std::next(it);
     }
 }
 
--- a/src/entry/prompt_places.hpp
+++ b/src/entry/prompt_places.hpp
@@ -2,13 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_PROMPT_PLACES_HPP
 
 /// \file
-/// Where the prompts of a program's lines lie cached, as its home knows it.
+/// Prefix cache locations of a program's conversations, kept by the program's
+/// coordinator.
 ///
-/// Load pattern: a program's next turn comes through another node than the
-/// one before (two of three do at 64 nodes), which does not know the engine
-/// that has read all the earlier turns. Without it 27 turns of 100 ran where
-/// the former one ran, and 53.4 M prompt tokens were read in 36,321 turns; with
-/// it 40.8 M (64 nodes, 44 engines, the same day played once each).
+/// Load pattern: the next turn of a program arrives through another node than
+/// the previous one (two of three do at 64 nodes), and that node does not know
+/// which engine has cached the earlier turns. Without these locations 27 of 100
+/// turns ran at the engine of the previous turn, and 53.4 M prompt tokens were
+/// prefilled in 36,321 turns; with them, 40.8 M (64 nodes, 44 engines, one run
+/// of the same day each).
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/engine_board.hpp>
@@ -22,44 +24,48 @@
 namespace walnutmill
 {
 
-struct places_options
+struct prefix_location_options
 {
-    /// Lines of a program that are kept, the latest ones: its own and those of
-    /// three sub-agents, the mean number of those that start together.
-    std::size_t lines = 4;
-    /// A program that has run no turn for this long is forgotten: pauses and
-    /// tools take up to a second, and parts unused for longer have yielded
-    /// their memory to others.
-    std::chrono::seconds kept_for{5};
-    /// Programs kept at most: ten times what a node of 390 is the home of at
-    /// 67 turns a second and 5 s, at 0.4 KB each.
-    std::size_t programs = 4'096;
+    /// Most recent conversations kept per program: its own and those of three
+    /// sub-agents, the mean number that start together.
+    std::size_t max_conversations = 4;
+    /// Programs without a turn for this long are removed. Pauses and tool calls
+    /// take up to a second, and prefixes unused for longer have been evicted
+    /// from the engine's cache.
+    std::chrono::seconds retention{5};
+    /// Maximum number of programs, at 0.4 KB each. It is ten times the number
+    /// that one of 390 nodes coordinates at 67 turns per second and a retention
+    /// of 5 s.
+    std::size_t max_programs = 4'096;
 };
 
 class prompt_places
 {
 public:
-    explicit prompt_places(clock_fn clock, places_options options = {});
+    explicit prompt_places(
+        clock_fn clock, prefix_location_options options = {});
 
-    /// A turn of the program ended and left its prompt at an engine.
+    /// Records the engine that has cached the prompt of a completed turn.
+    /// Ignored for a new program if the maximum number is reached.
     void note(program_id const& program, prompt_place place);
 
-    /// \return the latest last; empty where nothing is known.
+    /// \return the locations of the program, most recent last; empty if none
+    /// are known.
     std::vector<prompt_place> of(program_id const& program) const;
 
-    /// Forgets programs that have run no turn for long.
+    /// Removes programs without a turn within the retention time.
     void sweep();
 
 private:
-    struct known_lines
+    struct program_entry
     {
-        std::vector<prompt_place> lines;
-        time_point noted_at{};
+        std::vector<prompt_place> locations;
+        time_point recorded_at{};
     };
 
     clock_fn clock_;
-    places_options options_;
-    std::unordered_map<program_id, known_lines> programs_;
+    prefix_location_options options_;
+    std::unordered_map<program_id, program_entry> programs_;
 };
 
 } // namespace walnutmill
--- a/src/entry/stall_policy.cpp
+++ b/src/entry/stall_policy.cpp
@@ -8,31 +8,31 @@
 duration stall_patience(
     duration expected, bool is_turn, int stalls, stall_options const& options)
 {
-    // More doublings than calls are sent would only overflow.
-    constexpr int most_doublings = 6;
+    // Avoids overflow; no call is sent more often than this.
+    constexpr int max_doublings = 6;
     auto const factor = is_turn ? options.turn_factor : options.plain_factor;
-    auto const beyond = duration(static_cast<duration::rep>(
+    auto const scaled = duration(static_cast<duration::rep>(
         static_cast<double>(std::max(expected, duration(0)).count()) * factor));
-    return (options.least + beyond) *
-           (1 << std::clamp(stalls, 0, most_doublings));
+    return (options.least + scaled) *
+           (1 << std::clamp(stalls, 0, max_doublings));
 }
 
 repeat_allowance::repeat_allowance(stall_options const& options)
-    : part_(options.repeated_part), most_(options.most_saved),
-      saved_(options.most_saved)
+    : retry_ratio_(options.retry_ratio), max_balance_(options.max_balance),
+      balance_(options.max_balance)
 {
 }
 
 void repeat_allowance::call_sent()
 {
-    saved_ = std::min(saved_ + part_, most_);
+    balance_ = std::min(balance_ + retry_ratio_, max_balance_);
 }
 
-bool repeat_allowance::take()
+bool repeat_allowance::try_spend()
 {
-    if (saved_ < 1)
+    if (balance_ < 1)
         return false;
-    saved_ -= 1;
+    balance_ -= 1;
     return true;
 }
 
--- a/src/entry/start_gate.cpp
+++ b/src/entry/start_gate.cpp
@@ -9,28 +9,33 @@
 namespace
 {
 
-/// A rank counts as under way for this long: what a program's pauses and tools
-/// last, several times over.
-constexpr std::chrono::seconds rank_lasts{5};
+/// A rank counts as active for this long after its last turn, several times the
+/// duration of a program's pauses and tool calls.
+constexpr std::chrono::seconds active_rank_window{5};
 
 } // namespace
 
 double refusal_chance(
-    std::optional<double> pressure, std::uint32_t rank, bool goes_before_others,
+    std::optional<double> load_per_slot, std::uint32_t rank, bool has_priority,
     gate_options const& options)
 {
-    if (!pressure)
+    if (!load_per_slot)
         return 0;
-    auto const earlier =
-        options.rank_step * static_cast<double>(std::min(rank, options.ranks));
-    auto const later = goes_before_others ? options.ahead_of_others : 0.0;
-    auto const above = *pressure + earlier - later - options.from;
-    return std::clamp(above / (options.all_at - options.from), 0.0, 1.0);
+    auto const rank_offset =
+        options.rank_load_offset *
+        static_cast<double>(std::min(rank, options.max_rank));
+    auto const priority_offset =
+        has_priority ? options.priority_load_offset : 0.0;
+    auto const excess = *load_per_slot + rank_offset - priority_offset -
+                        options.refusal_start_load;
+    return std::clamp(
+        excess / (options.full_refusal_load - options.refusal_start_load), 0.0,
+        1.0);
 }
 
 void ranks_under_way::seen(std::uint32_t rank, time_point now)
 {
-    seen_at_[std::min<std::size_t>(rank, ranks - 1)] = now;
+    last_seen_[std::min<std::size_t>(rank, ranks - 1)] = now;
 }
 
 bool ranks_under_way::has_less_urgent(std::uint32_t rank, time_point now) const
@@ -38,17 +43,17 @@
     for (auto other = static_cast<std::size_t>(rank) + 1; other < ranks;
          ++other)
     {
-        auto const at = seen_at_[other];
-        if (at != time_point{} && now - at < rank_lasts)
+        auto const last_seen = last_seen_[other];
+        if (last_seen != time_point{} && now - last_seen < active_rank_window)
             return true;
     }
     return false;
 }
 
 bool may_run_in_vain(
-    std::optional<double> pressure, gate_options const& options)
+    std::optional<double> load_per_slot, gate_options const& options)
 {
-    return pressure && *pressure < options.in_vain_below;
+    return load_per_slot && *load_per_slot < options.speculative_load_limit;
 }
 
 } // namespace walnutmill
--- a/src/entry/start_gate.hpp
+++ b/src/entry/start_gate.hpp
@@ -2,20 +2,22 @@
 #define WALNUTMILL_SRC_ENTRY_START_GATE_HPP
 
 /// \file
-/// Whether new programs may start while the engines are full.
+/// Admission control: decides whether new programs may start while the engines
+/// are full.
 ///
-/// Load pattern: for some seconds twice as many programs come as the engines
-/// can carry. Without the gate all of them start, all turns wait, and nearly
-/// none ends within its aim (1.4 to 1.7 times its time on idle engines), long
-/// after the burst too; with it those under way keep their pace, and those
-/// refused are told at once when to come back. A program that has begun is
-/// never refused for load.
+/// Load pattern: for some seconds, programs arrive at twice the rate that the
+/// engines can carry. Without admission control all of them start, every turn
+/// waits, and almost no program finishes within its target time (1.4 to 1.7
+/// times its time on idle engines), even long after the burst. With it, running
+/// programs keep their speed, and refused ones are told immediately when to
+/// retry. A program that has started is never refused because of load.
 ///
-/// The engines' queues are ordered by rank: while less urgent calls are about,
-/// it is those that wait. Urgent programs held back at the same load as the
-/// others paid for calls that they would have gone before: through two bursts
-/// on 352 slots 1,637 of 1,960 ended within their aim, held back later 1,792 of
-/// 1,930, and no fewer of the others (64 nodes, one play each).
+/// The engines order their queues by rank, so less urgent calls wait first
+/// while there are any. Applying the same load threshold to urgent programs
+/// refuses calls that would have overtaken the queue. Over two bursts on 352
+/// slots, 1,637 of 1,960 urgent programs finished within their target time with
+/// the same threshold and 1,792 of 1,930 with a higher one, while the result
+/// of the other programs was no worse (64 nodes, one run each).
 
 #include <walnutmill/clock.hpp>
 
@@ -28,62 +30,65 @@
 
 struct gate_options
 {
-    /// Calls for each slot from which new programs are refused, and at which
-    /// all are. A full batch generates 1.3 times as slowly as a single call,
-    /// prompts of others read in between make it some 1.45; a wait for a slot
-    /// on top takes a program beyond its aim.
-    double from = 1.0;
-    double all_at = 1.3;
-    /// Less urgent routes yield this much earlier for each rank.
-    double rank_step = 0.03;
-    /// Programs that go before others are refused this much later. Half of the
-    /// turns or more are of the less urgent ones, so at 1.6 calls for each slot
-    /// the urgent ones alone leave slots free; from there on they would wait
+    /// Load per slot, in calls, above which some new programs are refused, and
+    /// from which all are. A full batch generates 1.3 times slower than a
+    /// single call, and interleaved prefills of other calls raise this to about
+    /// 1.45. A wait for a slot in addition makes a program miss its target
+    /// time.
+    double refusal_start_load = 1.0;
+    double full_refusal_load = 1.3;
+    /// Reduction of both thresholds for each rank of a less urgent route.
+    double rank_load_offset = 0.03;
+    /// Increase of both thresholds for programs that overtake less urgent ones.
+    /// At least half of the turns are less urgent, so at a load of 1.6 calls
+    /// per slot the urgent ones alone leave slots free. Above that they wait
     /// for each other.
-    double ahead_of_others = 0.6;
-    /// Ranks counted at most.
-    std::uint32_t ranks = 2;
-    /// Calls for each slot up to which a turn may run that may not come to its
-    /// end. It is run three times at most, 2 s apart, so 0.3 of the slots left
-    /// free carry those of an outage.
-    double in_vain_below = 0.7;
+    double priority_load_offset = 0.6;
+    /// Higher ranks are treated as this one.
+    std::uint32_t max_rank = 2;
+    /// Load per slot below which a speculative turn may run, that is, one that
+    /// may not be able to commit its result. Such a turn runs at most three
+    /// times, 2 s apart, so the 0.3 of the slots left free carry those of an
+    /// outage.
+    double speculative_load_limit = 0.7;
 };
 
-/// \param pressure calls for each slot, of all nodes; empty: not known, and
-/// then nobody is refused on a guess
-/// \param rank of the route, 0 the most urgent
-/// \param goes_before_others less urgent programs are under way
-/// \return chance, 0 to 1, that a new program is refused
+/// \param load_per_slot calls per slot over all nodes; empty if unknown, in
+/// which case no program is refused
+/// \param rank of the route; 0 is the most urgent
+/// \param has_priority true if less urgent programs are active
+/// \return probability, 0 to 1, with which a new program is refused
 double refusal_chance(
-    std::optional<double> pressure, std::uint32_t rank,
-    bool goes_before_others = false, gate_options const& options = {});
+    std::optional<double> load_per_slot, std::uint32_t rank,
+    bool has_priority = false, gate_options const& options = {});
 
-/// Of which ranks programs are under way, as this node has seen.
+/// Tracks the ranks whose programs are active, as observed by this node.
 class ranks_under_way
 {
 public:
-    /// A turn of a program of that rank came.
+    /// Records that a turn of a program with this rank arrived.
     void seen(std::uint32_t rank, time_point now);
-    /// \return true where a less urgent rank was seen lately.
+    /// \return true if a less urgent rank was recorded recently.
     bool has_less_urgent(std::uint32_t rank, time_point now) const;
 
 private:
-    /// Ranks beyond count as the last one: routes have 0 to 9.
+    /// Routes have ranks 0 to 9; higher ranks count as the last one.
     static constexpr std::size_t ranks = 10;
 
-    std::array<time_point, ranks> seen_at_{};
+    std::array<time_point, ranks> last_seen_{};
 };
 
-/// Load pattern: the store is away for some seconds, and turns that have to be
-/// kept can't end before it is back. Refused at once, a program bridges some
-/// 3.5 s with its repetitions; run, with the end of the answer held for the
-/// store, some 7 s, at the price of turns that ran in vain. With it four
-/// plays of a day with 7 s without the store were worth 0.55 to 0.58 instead of
-/// 0.50 to 0.55 (13 nodes, 14 engines, pressure 0.3,
-/// measured without the bound on the load).
-/// \return true where such a turn may start; false where the load is not known
+/// Load pattern: the store is unavailable for some seconds, and turns whose
+/// results must be stored cannot complete until it returns. A program whose
+/// turns are refused immediately survives about 3.5 s through its retries. If
+/// the turns run and the end of the answer is held until the store returns, it
+/// survives about 7 s, at the cost of speculative turns that are lost. Four
+/// runs of a day with a store outage of 7 s reach a worth of 0.55 to 0.58 this
+/// way, and 0.50 to 0.55 with refusals (13 nodes, 14 engines, load per slot
+/// 0.3, without the load limit).
+/// \return true if such a turn may start; false if the load is unknown
 bool may_run_in_vain(
-    std::optional<double> pressure, gate_options const& options = {});
+    std::optional<double> load_per_slot, gate_options const& options = {});
 
 } // namespace walnutmill
 
--- a/test/outage_policy-test.cpp
+++ b/test/outage_policy-test.cpp
@@ -11,100 +11,103 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A program's turn during an outage that began when it was sent: sent three
-/// times, each with one return after a refusal.
+/// A turn during an outage that starts when the turn is first sent. The turn is
+/// sent three times, each with one retry after a refusal.
 struct outage_fixture
 {
     milliseconds deadline{4'000};
-    /// Callers leave a stream that says nothing for this long.
-    milliseconds silence_borne{2'000};
-    milliseconds run{150};
+    /// Callers abandon a stream that is silent for this long.
+    milliseconds silence_timeout{2'000};
+    milliseconds run_time{150};
     milliseconds pause{250};
 
-    /// \return how long an outage may last for the turn to end well.
+    /// \return the longest outage that the turn survives.
     template<class Policy>
-    milliseconds outlasts(Policy const& should_refuse) const
+    milliseconds longest_outage(Policy const& should_refuse) const
     {
         milliseconds at{0};
-        milliseconds reached{0};
+        milliseconds survived{0};
         for (int send = 0; send < 3; ++send)
         {
             auto const sent = at;
             for (int attempt = 0; attempt < 2; ++attempt)
             {
-                outage_call one;
-                one.lost_for = at;
-                one.time_left = deadline - (at - sent);
-                one.whole_time = deadline;
-                if (!should_refuse(one))
+                outage_call call;
+                call.lost_for = at;
+                call.time_left = deadline - (at - sent);
+                call.whole_time = deadline;
+                if (!should_refuse(call))
                 {
                     at += std::min<milliseconds>(
-                        run + silence_borne,
+                        run_time + silence_timeout,
                         std::chrono::duration_cast<milliseconds>(
-                            one.time_left));
-                    reached = at;
+                            call.time_left));
+                    survived = at;
                     break;
                 }
-                reached = at;
+                survived = at;
                 if (attempt == 0)
-                    at += come_back_in_outage(one);
+                    at += come_back_in_outage(call);
             }
             at += pause;
         }
-        return reached;
+        return survived;
     }
 };
 
 } // namespace
 
-// 10.0 s instead of 6.95 s (all run at once) and 4.5 s (all refused).
+// The turn survives 10.0 s, compared with 6.95 s if it is always run
+// immediately and 4.5 s if it is always refused.
 TEST_CASE_METHOD(
-    outage_fixture,
-    "outage: a program's turn outlasts seconds without the store")
+    outage_fixture, "outage: a turn survives seconds without the store")
 {
-    auto const run_at_once = outlasts([](outage_call const&) { return false; });
-    auto const refused = outlasts([](outage_call const&) { return true; });
-    auto const chosen =
-        outlasts([](outage_call const& one) { return should_come_back(one); });
-    CHECK(chosen >= seconds(9));
-    CHECK(chosen > run_at_once + seconds(2));
-    CHECK(chosen > refused + seconds(4));
+    auto const run_at_once =
+        longest_outage([](outage_call const&) { return false; });
+    auto const refused =
+        longest_outage([](outage_call const&) { return true; });
+    auto const by_policy = longest_outage([](outage_call const& call)
+                                          { return should_come_back(call); });
+    CHECK(by_policy >= seconds(9));
+    CHECK(by_policy > run_at_once + seconds(2));
+    CHECK(by_policy > refused + seconds(4));
 }
 
-TEST_CASE_METHOD(outage_fixture, "outage: a short one is waited out")
+TEST_CASE_METHOD(outage_fixture, "outage: turns run during a short outage")
 {
-    outage_call one;
-    one.time_left = deadline;
-    one.whole_time = deadline;
-    CHECK_FALSE(should_come_back(one));
-    one.lost_for = milliseconds(400);
-    CHECK_FALSE(should_come_back(one));
+    outage_call call;
+    call.time_left = deadline;
+    call.whole_time = deadline;
+    CHECK_FALSE(should_come_back(call));
+    call.lost_for = milliseconds(400);
+    CHECK_FALSE(should_come_back(call));
 }
 
 TEST_CASE_METHOD(
-    outage_fixture, "outage: one that came back is run and not refused again")
+    outage_fixture, "outage: a retried turn runs and is not refused again")
 {
-    outage_call one;
-    one.lost_for = seconds(5);
-    one.whole_time = deadline;
-    one.time_left = deadline;
-    REQUIRE(should_come_back(one));
-    one.time_left -= come_back_in_outage(one);
-    CHECK_FALSE(should_come_back(one));
+    outage_call call;
+    call.lost_for = seconds(5);
+    call.whole_time = deadline;
+    call.time_left = deadline;
+    REQUIRE(should_come_back(call));
+    call.time_left -= come_back_in_outage(call);
+    CHECK_FALSE(should_come_back(call));
 }
 
 TEST_CASE_METHOD(
-    outage_fixture, "outage: the longer it lasts the later callers come back")
+    outage_fixture,
+    "outage: the retry delay grows with the length of the outage")
 {
-    outage_call one;
-    one.time_left = deadline;
-    one.whole_time = deadline;
-    one.lost_for = milliseconds(300);
-    CHECK(come_back_in_outage(one) == milliseconds(800));
-    one.lost_for = milliseconds(900);
-    CHECK(come_back_in_outage(one) == milliseconds(900));
-    one.lost_for = seconds(20);
-    CHECK(come_back_in_outage(one) <= deadline / 3);
-    one.time_left = milliseconds(90);
-    CHECK(come_back_in_outage(one) <= milliseconds(30));
+    outage_call call;
+    call.time_left = deadline;
+    call.whole_time = deadline;
+    call.lost_for = milliseconds(300);
+    CHECK(come_back_in_outage(call) == milliseconds(800));
+    call.lost_for = milliseconds(900);
+    CHECK(come_back_in_outage(call) == milliseconds(900));
+    call.lost_for = seconds(20);
+    CHECK(come_back_in_outage(call) <= deadline / 3);
+    call.time_left = milliseconds(90);
+    CHECK(come_back_in_outage(call) <= milliseconds(30));
 }
--- a/test/prompt_places-test.cpp
+++ b/test/prompt_places-test.cpp
@@ -22,17 +22,17 @@
     return {part, tokens, target_name(engine)};
 }
 
-struct places_fixture
+struct locations_fixture
 {
     manual_clock clock;
-    prompt_places places{clock.fn(), {2, seconds(5), 3}};
+    prompt_places locations{clock.fn(), {2, seconds(5), 3}};
     program_id const program{"p1"};
 
-    /// \return the parts that are known of the program, with their engines.
-    std::vector<std::string> known(std::string const& id = "p1") const
+    /// \return the program's locations as PART:TOKENS@ENGINE.
+    std::vector<std::string> known_locations(std::string const& id = "p1") const
     {
         std::vector<std::string> to;
-        for (auto const& one : places.of(program_id(id)))
+        for (auto const& one : locations.of(program_id(id)))
             to.push_back(
                 one.part + ":" + std::to_string(one.tokens) + "@" +
                 one.engine.id.str());
@@ -45,53 +45,56 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    places_fixture, "prompt places: a line's latest turn stands for the line")
+    locations_fixture,
+    "prompt places: a conversation keeps the location of its latest turn")
 {
-    places.note(program, at("line", 500, "e1"));
-    places.note(program, at("line", 900, "e2"));
-    CHECK(known() == strings{"line:900@e2"});
-    CHECK(known("p2").empty());
+    locations.note(program, at("line", 500, "e1"));
+    locations.note(program, at("line", 900, "e2"));
+    CHECK(known_locations() == strings{"line:900@e2"});
+    CHECK(known_locations("p2").empty());
 }
 
 TEST_CASE_METHOD(
-    places_fixture, "prompt places: the latest lines of a program are kept")
+    locations_fixture,
+    "prompt places: the latest conversations of a program are kept")
 {
-    places.note(program, at("own", 500, "e1"));
-    places.note(program, at("first", 100, "e2"));
-    places.note(program, at("own", 700, "e1"));
-    places.note(program, at("second", 100, "e3"));
-    CHECK(known() == strings{"own:700@e1", "second:100@e3"});
+    locations.note(program, at("own", 500, "e1"));
+    locations.note(program, at("first", 100, "e2"));
+    locations.note(program, at("own", 700, "e1"));
+    locations.note(program, at("second", 100, "e3"));
+    CHECK(known_locations() == strings{"own:700@e1", "second:100@e3"});
 }
 
 TEST_CASE_METHOD(
-    places_fixture, "prompt places: a program without turns is forgotten")
+    locations_fixture, "prompt places: a program without turns is removed")
 {
-    places.note(program, at("line", 500, "e1"));
+    locations.note(program, at("line", 500, "e1"));
     clock.advance(seconds(4));
-    places.note(program_id("p2"), at("line", 500, "e1"));
+    locations.note(program_id("p2"), at("line", 500, "e1"));
     clock.advance(seconds(2));
-    places.sweep();
-    CHECK(known().empty());
-    CHECK(known("p2").size() == 1);
+    locations.sweep();
+    CHECK(known_locations().empty());
+    CHECK(known_locations("p2").size() == 1);
 }
 
 TEST_CASE_METHOD(
-    places_fixture, "prompt places: programs beyond the bound are not taken in")
+    locations_fixture,
+    "prompt places: programs beyond the maximum are not added")
 {
     for (auto const* id : {"p1", "p2", "p3", "p4"})
-        places.note(program_id(id), at("line", 500, "e1"));
-    CHECK(known("p3").size() == 1);
-    CHECK(known("p4").empty());
-    places.note(program, at("line", 600, "e1"));
-    CHECK(known() == strings{"line:600@e1"});
+        locations.note(program_id(id), at("line", 500, "e1"));
+    CHECK(known_locations("p3").size() == 1);
+    CHECK(known_locations("p4").empty());
+    locations.note(program, at("line", 600, "e1"));
+    CHECK(known_locations() == strings{"line:600@e1"});
 }
 
 namespace
 {
 
-/// Sixteen nodes before twelve engines; the turns of each program come through
-/// any node. Engines keep all that they read.
-struct lines_fixture
+/// Simulates sixteen nodes and twelve engines. The turns of a program arrive
+/// through any node, and engines evict nothing from their caches.
+struct routing_fixture
 {
     static constexpr int nodes = 16;
     static constexpr int engines = 12;
@@ -102,15 +105,15 @@
 
     manual_clock clock;
     random_fn random = seeded_random(11);
-    std::vector<std::unique_ptr<engine_board>> boards;
-    prompt_places places{clock.fn()};
-    /// Calls under way at engines.
+    std::vector<std::unique_ptr<engine_board>> balancers;
+    prompt_places locations{clock.fn()};
+    /// Active calls per engine.
     std::map<std::string, std::uint32_t> calls;
     std::map<std::pair<std::string, std::string>, std::uint32_t> cached;
-    std::uint64_t read_again = 0;
+    std::uint64_t prefilled_again = 0;
     int turns_run = 0;
 
-    lines_fixture()
+    routing_fixture()
     {
         std::vector<engine_entry> all;
         for (int i = 0; i < engines; ++i)
@@ -125,22 +128,22 @@
         }
         for (int i = 0; i < nodes; ++i)
         {
-            boards.push_back(std::make_unique<engine_board>(
+            balancers.push_back(std::make_unique<engine_board>(
                 zone_name("z" + std::to_string(i % 4)), clock.fn(),
                 seeded_random(static_cast<std::uint64_t>(i) + 1)));
-            boards.back()->set_engines(all);
+            balancers.back()->set_engines(all);
         }
     }
 
-    engine_board& any_node()
+    engine_board& random_node()
     {
         auto const drawn = static_cast<std::size_t>(random() * nodes);
-        return *boards[std::min<std::size_t>(drawn, nodes - 1)];
+        return *balancers[std::min<std::size_t>(drawn, nodes - 1)];
     }
 
-    void run_turn(int program, int turn, bool home_tells)
+    void run_turn(int program, int turn, bool coordinator_shares)
     {
-        auto& node = any_node();
+        auto& node = random_node();
         program_id const id("p" + std::to_string(program));
         auto const own = static_cast<std::uint32_t>(turn + 1) * new_tokens;
         std::vector<prompt_part> const prompt{
@@ -150,53 +153,53 @@
         need.prompt_tokens = shared_tokens + own;
         need.output_tokens = 34;
         need.prompt = &prompt;
-        if (home_tells)
+        if (coordinator_shares)
         {
-            for (auto const& one : places.of(id))
+            for (auto const& one : locations.of(id))
                 node.learn(one);
         }
         auto const to = node.choose(need);
         REQUIRE(to);
         node.sent(to->ref(), need);
         ++turns_run;
-        auto& held = cached[{to->engine.str(), id.str()}];
-        read_again += own - held - new_tokens;
-        held = own;
+        auto& cached_tokens = cached[{to->engine.str(), id.str()}];
+        prefilled_again += own - cached_tokens - new_tokens;
+        cached_tokens = own;
         node.ended(
             to->ref(), need, engine_outcome::answered, milliseconds(240));
-        places.note(id, {id.str(), own, to->ref()});
+        locations.note(id, {id.str(), own, to->ref()});
     }
 
-    /// \return the tokens of histories that a turn reads again, on average.
-    double play(bool home_tells)
+    /// \return the mean number of history tokens that a turn prefills again.
+    double run(bool coordinator_shares)
     {
         for (int turn = 0; turn < turns; ++turn)
         {
             for (int program = 0; program < programs; ++program)
-                run_turn(program, turn, home_tells);
+                run_turn(program, turn, coordinator_shares);
             clock.advance(milliseconds(300));
         }
-        return static_cast<double>(read_again) / turns_run;
+        return static_cast<double>(prefilled_again) / turns_run;
     }
 };
 
-/// The most tokens of a history that may be read again a turn: reading 55 takes
-/// half a millisecond at 110 tokens a millisecond, a hundredth of the least
-/// that a turn lasts.
-constexpr double read_again_at_most = 55;
+/// Maximum mean number of history tokens that a turn may prefill again. Reading
+/// 55 tokens takes half a millisecond at 110 tokens per millisecond, which is a
+/// hundredth of the shortest turn.
+constexpr double max_prefilled_again = 55;
 
 } // namespace
 
 TEST_CASE_METHOD(
-    lines_fixture,
-    "prompt places: turns through any node go on where their line lies")
+    routing_fixture,
+    "prompt places: turns through any node run where their prefix is cached")
 {
-    CHECK(play(true) <= read_again_at_most);
+    CHECK(run(true) <= max_prefilled_again);
 }
 
 TEST_CASE_METHOD(
-    lines_fixture,
-    "prompt places: without them histories are read again and again")
+    routing_fixture,
+    "prompt places: without them prompts are prefilled repeatedly")
 {
-    CHECK(play(false) > 10 * read_again_at_most);
+    CHECK(run(false) > 10 * max_prefilled_again);
 }
--- a/test/stall_policy-test.cpp
+++ b/test/stall_policy-test.cpp
@@ -17,15 +17,15 @@
         options.least = milliseconds(400);
         options.turn_factor = 4;
         options.plain_factor = 8;
-        options.repeated_part = 0.1;
-        options.most_saved = 3;
+        options.retry_ratio = 0.1;
+        options.max_balance = 3;
     }
 
-    int granted_of(repeat_allowance& allowance, int asked) const
+    int count_granted(repeat_allowance& allowance, int requested) const
     {
         int granted = 0;
-        for (int i = 0; i < asked; ++i)
-            granted += allowance.take() ? 1 : 0;
+        for (int i = 0; i < requested; ++i)
+            granted += allowance.try_spend() ? 1 : 0;
         return granted;
     }
 };
@@ -33,7 +33,7 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    stall_fixture, "stall: silence borne grows with what was expected")
+    stall_fixture, "stall: the timeout grows with the expected time")
 {
     CHECK(
         stall_patience(milliseconds(40), true, 0, options) ==
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(
-    stall_fixture, "stall: an estimate below zero bears the least silence")
+    stall_fixture, "stall: a negative estimate gets the minimum timeout")
 {
     CHECK(
         stall_patience(milliseconds(-5), true, 0, options) ==
@@ -55,7 +55,8 @@
 }
 
 TEST_CASE_METHOD(
-    stall_fixture, "stall: each stall of a call doubles what its next try has")
+    stall_fixture,
+    "stall: each stall of a call doubles the timeout of its next attempt")
 {
     CHECK(
         stall_patience(milliseconds(0), true, 1, options) == milliseconds(800));
@@ -68,25 +69,26 @@
 }
 
 TEST_CASE_METHOD(
-    stall_fixture, "stall: when all calls stall one in ten is sent again")
+    stall_fixture, "stall: if all calls stall, one in ten is retried")
 {
     repeat_allowance allowance(options);
     int granted = 0;
     for (int i = 0; i < 1'000; ++i)
     {
         allowance.call_sent();
-        granted += allowance.take() ? 1 : 0;
+        granted += allowance.try_spend() ? 1 : 0;
     }
     CHECK(granted >= 100);
     CHECK(granted <= 104);
 }
 
 TEST_CASE_METHOD(
-    stall_fixture, "stall: after a calm time a spell finds the most saved up")
+    stall_fixture,
+    "stall: without stalls the retry budget fills up to its maximum")
 {
     repeat_allowance allowance(options);
-    CHECK(granted_of(allowance, 10) == 3);
+    CHECK(count_granted(allowance, 10) == 3);
     for (int i = 0; i < 500; ++i)
         allowance.call_sent();
-    CHECK(granted_of(allowance, 10) == 3);
+    CHECK(count_granted(allowance, 10) == 3);
 }
--- a/test/stalled_call-test.cpp
+++ b/test/stalled_call-test.cpp
@@ -14,14 +14,14 @@
 
 struct stalled_call_fixture : entry_world
 {
-    /// Requests that came to silenced targets.
+    /// Requests received by the targets that stall.
     std::atomic<int> requests{0};
 
     stalled_call_fixture() { stall_least = milliseconds(200); }
 
-    /// Of all requests to these targets the first one is left unanswered,
-    /// after that many events.
-    void silence_the_first(standin_target& a, standin_target& b, int events)
+    /// Makes the targets stall on the first request that either of them
+    /// receives, after sending the given number of events.
+    void stall_first_request(standin_target& a, standin_target& b, int events)
     {
         for (auto* one : {&a, &b})
         {
@@ -44,9 +44,9 @@
 
 TEST_CASE_METHOD(
     stalled_call_fixture,
-    "stalled call: one that may run again is answered by another engine")
+    "stalled call: a repeatable call is answered by another engine")
 {
-    silence_the_first(desk_a, desk_b, 0);
+    stall_first_request(desk_a, desk_b, 0);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/safe/x", "r1"));
@@ -58,16 +58,16 @@
 
 TEST_CASE_METHOD(
     stalled_call_fixture,
-    "stalled call: a stream that stops in the middle goes on elsewhere")
+    "stalled call: a stream that stops midway resumes at another engine")
 {
-    std::atomic<int> tries{0};
+    std::atomic<int> attempts{0};
     for (auto* one : {&engine_a, &engine_b})
     {
         one->set_script(
             [&](link_ptr const& link, http_request const& sent)
             {
                 std::string const id(sent["Request-Id"]);
-                if (++tries == 1)
+                if (++attempts == 1)
                 {
                     link->write(standin_target::stream(id, 1, 2, false));
                     return true;
@@ -90,9 +90,9 @@
 }
 
 TEST_CASE_METHOD(
-    stalled_call_fixture, "stalled call: an order is never sent a second time")
+    stalled_call_fixture, "stalled call: an order is never retried")
 {
-    silence_the_first(desk_a, desk_b, 0);
+    stall_first_request(desk_a, desk_b, 0);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/orders/x", "r1"));
@@ -102,9 +102,9 @@
 
 TEST_CASE_METHOD(
     stalled_call_fixture,
-    "stalled call: a turn that can't be resumed runs once and stays unfinished")
+    "stalled call: a turn that can't be resumed runs once and stays incomplete")
 {
-    silence_the_first(engine_a, engine_b, 1);
+    stall_first_request(engine_a, engine_b, 1);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(turn("t1", {}, "/kept/"));
@@ -113,8 +113,7 @@
 }
 
 TEST_CASE_METHOD(
-    stalled_call_fixture,
-    "stalled call: an engine that is only slow brings its work to an end")
+    stalled_call_fixture, "stalled call: a slow engine completes its call")
 {
     store.remove("servers", "ib");
     engine_a.set_script(
--- a/test/start_gate-test.cpp
+++ b/test/start_gate-test.cpp
@@ -9,31 +9,31 @@
 
 } // namespace
 
-TEST_CASE("start gate: programs start freely while slots are free")
+TEST_CASE("start gate: no program is refused while slots are free")
 {
     CHECK(refusal_chance(0.0, 0) == 0);
     CHECK(refusal_chance(0.9, 2) == 0);
 }
 
-TEST_CASE("start gate: without news of the load nobody is refused")
+TEST_CASE("start gate: no program is refused if the load is unknown")
 {
     CHECK(refusal_chance(std::nullopt, 2) == 0);
 }
 
-TEST_CASE("start gate: all are refused once a third of a batch waits")
+TEST_CASE("start gate: all are refused from a load of 1.3 calls per slot")
 {
     CHECK(refusal_chance(1.3, 0) == 1);
     CHECK(refusal_chance(5.0, 0) == 1);
 }
 
-TEST_CASE("start gate: refusals grow with the load, less urgent routes first")
+TEST_CASE("start gate: refusals grow with load, less urgent routes first")
 {
     CHECK(refusal_chance(1.1, 0) < refusal_chance(1.2, 0));
     CHECK(refusal_chance(1.1, 0) < refusal_chance(1.1, 1));
     CHECK(refusal_chance(1.1, 2) == refusal_chance(1.1, 9));
 }
 
-TEST_CASE("start gate: turns run in vain only while many slots are free")
+TEST_CASE("start gate: speculative turns run only while many slots are free")
 {
     CHECK(may_run_in_vain(0.0));
     CHECK(may_run_in_vain(0.69));
@@ -42,7 +42,7 @@
     CHECK_FALSE(may_run_in_vain(std::nullopt));
 }
 
-TEST_CASE("start gate: programs that go before others are refused later")
+TEST_CASE("start gate: programs with priority are refused at a higher load")
 {
     CHECK(refusal_chance(1.3, 0, true) == 0);
     CHECK(refusal_chance(1.6, 0, true) == 0);
@@ -50,7 +50,7 @@
     CHECK(refusal_chance(5.0, 0, true) == 1);
 }
 
-TEST_CASE("start gate: a rank goes before others while those are under way")
+TEST_CASE("start gate: a rank has priority while less urgent ones are active")
 {
     manual_clock clock;
     ranks_under_way ranks;
@@ -61,7 +61,7 @@
     CHECK_FALSE(ranks.has_less_urgent(1, clock.now()));
     clock.advance(std::chrono::seconds(6));
     CHECK_FALSE(ranks.has_less_urgent(0, clock.now()));
-    // Ranks beyond those that routes may have count as the last one.
+    // Ranks above the highest that routes have count as the last one.
     ranks.seen(400, clock.now());
     CHECK(ranks.has_less_urgent(8, clock.now()));
     CHECK_FALSE(ranks.has_less_urgent(400, clock.now()));
--- a/test/start_gate_load-test.cpp
+++ b/test/start_gate_load-test.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// A burst of programs of two routes before one pool of slots, whose queue is
-/// ordered by rank as the engines' are. Held back alike, 88 of 100 urgent
-/// programs end in time and 63 of the others; with the urgent ones held back
-/// later all of them do, and 47 of the others.
+/// Simulates a burst of programs of two routes on one pool of slots whose queue
+/// is ordered by rank, as in the engines. If both routes have the same refusal
+/// thresholds, 88 of 100 urgent programs finish in time, and 63 of the others.
+/// With a higher threshold for urgent programs all of them do, and 47 of the
+/// others.
 
 #include "entry/start_gate.hpp"
 
@@ -27,46 +28,48 @@
 constexpr int slots = 80;
 constexpr double turn_ms = 250;
 constexpr double pause_ms = 80;
-/// A program's aim, in times of what it takes on an idle engine.
-constexpr double aim = 1.8;
-constexpr double come_back_ms = 725;
+/// Target time of a program, as a multiple of its time on an idle engine.
+constexpr double target_time_factor = 1.8;
+constexpr double retry_after_ms = 725;
 
-/// Programs of a route.
+/// Load and results of a route.
 struct route_load
 {
     std::uint32_t rank;
     int turns;
     double per_second;
-    int asked = 0;
+    int arrived = 0;
     int in_time = 0;
 };
 
 struct program
 {
     route_load* route;
-    double asked_at;
+    double arrived_at;
     int turns_left;
 };
 
-class burst_play
+class burst_simulation
 {
 public:
-    explicit burst_play(gate_options const& options) : options_(options) {}
+    explicit burst_simulation(gate_options const& options) : options_(options)
+    {
+    }
 
-    /// The urgent route, and the other one.
+    /// The urgent route and the other one.
     std::array<route_load, 2> routes{{{0, 7, 15}, {1, 4, 25}}};
 
-    void play()
+    void run()
     {
         for (auto& route : routes)
-            arrive(route, 0);
+            schedule_arrival(route, 0);
         while (!events_.empty() && now_ < end_ms)
         {
             auto const first = events_.begin();
             now_ = first->first;
-            auto const what = std::move(first->second);
+            auto const event = std::move(first->second);
             events_.erase(first);
-            what();
+            event();
         }
     }
 
@@ -75,51 +78,55 @@
     static constexpr double burst_to_ms = 9'000;
     static constexpr double arrivals_to_ms = 14'000;
     static constexpr double end_ms = 40'000;
-    static constexpr double times_in_burst = 2.5;
+    static constexpr double burst_factor = 2.5;
 
     using queued = std::pair<std::pair<std::uint32_t, int>, std::size_t>;
 
-    void at(double when, std::function<void()> what)
+    void at(double when, std::function<void()> event)
     {
-        events_.emplace(when, std::move(what));
+        events_.emplace(when, std::move(event));
     }
 
-    void arrive(route_load& route, double when)
+    void schedule_arrival(route_load& route, double when)
     {
-        auto const bursts = when >= burst_from_ms && when < burst_to_ms;
-        auto const rate = route.per_second * (bursts ? times_in_burst : 1);
+        auto const in_burst = when >= burst_from_ms && when < burst_to_ms;
+        auto const rate = route.per_second * (in_burst ? burst_factor : 1);
         auto const next = when - std::log(1 - random_()) * 1'000 / rate;
         if (next > arrivals_to_ms)
             return;
         at(next,
            [this, &route, next]
            {
-               ++route.asked;
+               ++route.arrived;
                programs_.push_back({&route, next, route.turns});
                start(programs_.size() - 1);
-               arrive(route, next);
+               schedule_arrival(route, next);
            });
     }
 
-    double pressure() const
+    double load_per_slot() const
     {
         return static_cast<double>(running_ + queue_.size()) / slots;
     }
 
-    void start(std::size_t which)
+    void start(std::size_t program_index)
     {
-        auto const& one = programs_[which];
+        auto const& one = programs_[program_index];
         auto const chance = refusal_chance(
-            pressure(), one.route->rank, one.route == &routes[0], options_);
+            load_per_slot(), one.route->rank, one.route == &routes[0],
+            options_);
         if (random_() >= chance)
-            turn(which);
-        else if (now_ - one.asked_at < 2 * come_back_ms)
-            at(now_ + come_back_ms, [this, which] { start(which); });
+            turn(program_index);
+        else if (now_ - one.arrived_at < 2 * retry_after_ms)
+            at(now_ + retry_after_ms,
+               [this, program_index] { start(program_index); });
     }
 
-    void turn(std::size_t which)
+    void turn(std::size_t program_index)
     {
-        queue_.push({{programs_[which].route->rank, ++number_}, which});
+        queue_.push(
+            {{programs_[program_index].route->rank, ++sequence_},
+             program_index});
         serve();
     }
 
@@ -127,23 +134,23 @@
     {
         while (running_ < slots && !queue_.empty())
         {
-            auto const which = queue_.top().second;
+            auto const program_index = queue_.top().second;
             queue_.pop();
             ++running_;
-            at(now_ + turn_ms, [this, which] { end(which); });
+            at(now_ + turn_ms, [this, program_index] { end(program_index); });
         }
     }
 
-    void end(std::size_t which)
+    void end(std::size_t program_index)
     {
         --running_;
-        auto& one = programs_[which];
+        auto& one = programs_[program_index];
         if (--one.turns_left > 0)
-            at(now_ + pause_ms, [this, which] { turn(which); });
+            at(now_ + pause_ms, [this, program_index] { turn(program_index); });
         else
         {
             auto const idle_ms = one.route->turns * (turn_ms + pause_ms);
-            if (now_ - one.asked_at <= aim * idle_ms)
+            if (now_ - one.arrived_at <= target_time_factor * idle_ms)
                 ++one.route->in_time;
         }
         serve();
@@ -153,45 +160,45 @@
     random_fn random_ = seeded_random(5);
     std::multimap<double, std::function<void()>> events_;
     std::vector<program> programs_;
-    /// The most urgent first, then the oldest.
+    /// Ordered by rank, then by arrival.
     std::priority_queue<queued, std::vector<queued>, std::greater<>> queue_;
     std::size_t running_ = 0;
-    int number_ = 0;
+    int sequence_ = 0;
     double now_ = 0;
 };
 
-double part_in_time(route_load const& route)
+double fraction_in_time(route_load const& route)
 {
-    return static_cast<double>(route.in_time) / route.asked;
+    return static_cast<double>(route.in_time) / route.arrived;
 }
 
-/// Both routes held back alike.
-gate_options alike()
+/// Options with the same refusal thresholds for both routes.
+gate_options same_thresholds()
 {
-    gate_options to;
-    to.ahead_of_others = 0;
-    return to;
+    gate_options options;
+    options.priority_load_offset = 0;
+    return options;
 }
 
-/// Part of the urgent programs that is to be in time through a burst: the
-/// worth aimed at over days with trouble.
-constexpr double aimed_part = 0.9;
+/// Required fraction of urgent programs that finish in time during a burst. It
+/// equals the worth required over days with faults.
+constexpr double required_fraction = 0.9;
 
 } // namespace
 
-TEST_CASE("start gate: urgent programs are in time through a burst")
+TEST_CASE("start gate: urgent programs finish in time during a burst")
 {
-    burst_play play({});
-    play.play();
-    CHECK(part_in_time(play.routes[0]) >= aimed_part);
+    burst_simulation simulation({});
+    simulation.run();
+    CHECK(fraction_in_time(simulation.routes[0]) >= required_fraction);
 }
 
-TEST_CASE("start gate: held back alike urgent programs pay for the others")
+TEST_CASE("start gate: with equal thresholds urgent programs finish late")
 {
-    burst_play before(alike());
-    before.play();
-    burst_play after({});
-    after.play();
-    CHECK(part_in_time(before.routes[0]) < aimed_part);
-    CHECK(before.routes[0].in_time < after.routes[0].in_time);
+    burst_simulation same(same_thresholds());
+    same.run();
+    burst_simulation higher({});
+    higher.run();
+    CHECK(fraction_in_time(same.routes[0]) < required_fraction);
+    CHECK(same.routes[0].in_time < higher.routes[0].in_time);
 }
