--- a/include/walnutmill/quota.hpp
+++ b/include/walnutmill/quota.hpp
@@ -2,14 +2,15 @@
 #define WALNUTMILL_QUOTA_HPP
 
 /// \file
-/// How many requests a workspace may make through all nodes together.
+/// Token buckets that enforce a workspace's rate limit over all nodes.
 ///
-/// Load pattern: most workspaces make a few requests a second over hundreds of
-/// nodes, a few make hundreds, and any may go over its limit. A fixed share a
-/// node refuses small workspaces far below their limits. So one node, the
-/// coordinator of a workspace, holds its token bucket in memory and is asked
-/// for each request. A coordinator without a past, as its predecessor was lost,
-/// starts with a small part of a burst: what was granted before is not known.
+/// Load: most workspaces make a few requests per second spread over hundreds of
+/// nodes, a few make hundreds per second, and any of them may exceed its limit.
+/// With a fixed share per node, small workspaces would be refused far below
+/// their limits. Therefore one node per workspace, its coordinator, holds the
+/// token bucket in memory and decides each request. A coordinator that takes
+/// over from a lost one does not know what was granted before, so its bucket
+/// starts with a small part of the burst.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/ids.hpp>
@@ -26,14 +27,16 @@
 namespace walnutmill
 {
 
-/// By how much all nodes together may exceed a workspace's limit.
+/// Upper bound on how far all nodes together may exceed a workspace's rate
+/// limit: a window may grant `limit * (1 + excess_fraction) + slack` requests,
+/// where `limit` is the rate times the window plus the burst.
 struct quota_bounds
 {
-    /// Over which requests are counted; zero: not judged.
+    /// Length of the sliding window; zero: the excess is not checked.
     duration window{0};
-    /// Part of the limit.
+    /// Allowed excess as a fraction of the limit.
     double over = 0;
-    /// Requests besides.
+    /// Allowed excess in requests, in addition to the fraction.
     double slack = 0;
 };
 
@@ -41,30 +44,30 @@
 {
     granted,
     over_limit,
-    /// No node that may decide can be reached.
+    /// No coordinator is reachable.
     undecided
 };
 
 struct quota_answer
 {
     quota_decision decision = quota_decision::undecided;
-    /// When a refused request will find room.
+    /// Delay until a refused request can expect a token.
     std::chrono::milliseconds retry_after{0};
 };
 
-/// Who asks for one request.
+/// Rate-limit request: a workspace asks for one token.
 struct quota_request
 {
     workspace_name owner;
-    /// As of the newest configuration; a lower one binds at once.
+    /// From the newest known configuration; a lower limit applies at once.
     rate_limit limit;
 };
 
-/// \return the requests that a coordinator without a past grants at once.
-double first_tokens(rate_limit const& limit, quota_bounds const& bounds);
+/// \return the tokens of a new bucket, whose earlier grants are unknown.
+double initial_tokens(rate_limit const& limit, quota_bounds const& bounds);
 
-/// \return the requests that a full bucket grants at once: the burst, and a
-/// part of what the limit may be exceeded by.
+/// \return the tokens of a full bucket: the burst plus a part of the allowed
+/// excess.
 double bucket_capacity(rate_limit const& limit, quota_bounds const& bounds);
 
 /// The token buckets of the workspaces that this node coordinates.
@@ -72,26 +75,28 @@
 {
 public:
     explicit quota_coordinator(
-        quota_bounds bounds, std::size_t most_buckets = 4'096);
+        quota_bounds bounds, std::size_t max_buckets = 4'096);
 
     void set_bounds(quota_bounds bounds) { bounds_ = bounds; }
 
     /// Grants or refuses one request.
-    /// \param share part of the nodes that this one can reach, 0 to 1: others
-    /// may be coordinated elsewhere meanwhile
+    /// \param share reachable share of members, 0 to 1; scales the refill,
+    /// since unreachable members may use another coordinator
+    /// \return the decision; with `over_limit`, also when to retry
     quota_answer
-    take(quota_request const& one, time_point now, double share = 1);
+    take(quota_request const& request, time_point now, double share = 1);
 
-    /// Refills all buckets; call it a few times a second, so that each refill
-    /// goes by the share of its own time. After a longer pause, in which this
-    /// node stood still and another one coordinated, nothing is refilled.
+    /// Refills all buckets. Call it a few times per second, so that each refill
+    /// uses the share of its own interval. A pause of 1 s or more means that
+    /// this node was stalled and another one may have been the coordinator, so
+    /// no tokens are added for it.
     void tick(time_point now, double share);
 
-    /// Drops the buckets of workspaces that another node coordinates by now:
-    /// taken up again, they start without a past.
-    void drop_if(std::function<bool(workspace_name const&)> const& elsewhere);
+    /// Erases the buckets of workspaces that another node coordinates. If this
+    /// node becomes their coordinator again, they start as new buckets.
+    void erase_if(std::function<bool(workspace_name const&)> const& is_remote);
 
-    /// A granted request was refused before any engine had it.
+    /// Returns the token of a granted request that never reached an engine.
     void give_back(workspace_name const& owner);
 
     std::size_t size() const { return buckets_.size(); }
@@ -101,23 +106,24 @@
     {
         rate_limit limit;
         double tokens = 0;
-        time_point filled_at{};
-        /// When the refused request that comes last finds room.
-        time_point room_at{};
-        std::list<workspace_name>::iterator use;
+        time_point refilled_at{};
+        /// Time at which the latest refused request can expect a token.
+        time_point next_retry_at{};
+        std::list<workspace_name>::iterator lru_position;
     };
 
-    bucket& find(quota_request const& one, time_point now, double share);
-    void fill(
-        bucket& one, rate_limit const& limit, time_point now,
+    bucket&
+    find_or_create(quota_request const& request, time_point now, double share);
+    void refill(
+        bucket& entry, rate_limit const& limit, time_point now,
         double share) const;
 
     quota_bounds bounds_;
-    std::size_t most_buckets_;
-    time_point ticked_at_{};
+    std::size_t max_buckets_;
+    time_point last_tick_{};
     std::unordered_map<workspace_name, bucket> buckets_;
     /// Least recently used first.
-    std::list<workspace_name> uses_;
+    std::list<workspace_name> lru_;
 };
 
 } // namespace walnutmill
--- a/src/entry/quota_exchange.cpp
+++ b/src/entry/quota_exchange.cpp
@@ -9,42 +9,45 @@
 namespace
 {
 
-/// Groups of workspaces that share a coordinator.
-constexpr std::uint64_t groups = 64;
-/// Nodes that pass an ask on at most.
-constexpr std::uint32_t most_hops = 1;
-/// Retry-After while no coordinator can be reached.
-constexpr std::chrono::milliseconds retry_undecided{150};
+/// Number of groups that workspaces are hashed into; the workspaces of a group
+/// share a coordinator.
+constexpr std::uint64_t coordinator_groups = 64;
+/// Maximum number of times that a rate-limit request is forwarded.
+constexpr std::uint32_t max_forwards = 1;
+/// Retry-after time while no coordinator is reachable.
+constexpr std::chrono::milliseconds undecided_retry_after{150};
 
-home_options options_of(double own_strength, duration passed_over_for)
+home_options placement_options(double own_strength, duration passed_over_for)
 {
-    home_options to;
-    to.passed_over_for = passed_over_for;
-    to.own_strength = own_strength;
-    to.strength_power = single_duty_power;
-    return to;
+    home_options result;
+    result.passed_over_for = passed_over_for;
+    result.own_strength = own_strength;
+    result.strength_power = single_duty_power;
+    return result;
 }
 
-/// \return the key whose home coordinates the workspace.
-std::string key_of(workspace_name const& owner)
+/// \return the rendezvous hashing key that selects the workspace's coordinator.
+std::string group_key(workspace_name const& owner)
 {
-    return "quota-" + std::to_string(stable_hash(owner.str()) % groups);
+    return "quota-" +
+           std::to_string(stable_hash(owner.str()) % coordinator_groups);
 }
 
 quota_answer undecided()
 {
-    return {quota_decision::undecided, retry_undecided};
+    return {quota_decision::undecided, undecided_retry_after};
 }
 
 } // namespace
 
 quota_exchange::quota_exchange(
     clock_fn clock, std::string self, double own_strength, quota_bounds bounds,
-    hooks to, quota_exchange_options options)
+    hooks callbacks, quota_exchange_options options)
     : clock_(std::move(clock)), self_(self), coordinator_(bounds),
-      homes_(
-          std::move(self), options_of(own_strength, options.passed_over_for)),
-      hooks_(std::move(to)), options_(options)
+      placement_(
+          std::move(self),
+          placement_options(own_strength, options.skip_unreachable_for)),
+      hooks_(std::move(callbacks)), options_(options)
 {
 }
 
@@ -55,27 +58,28 @@
 
 void quota_exchange::set_nodes(std::vector<home_candidate> others)
 {
-    std::map<std::string, std::string> still_silent;
-    for (auto const& one : others)
+    std::map<std::string, std::string> still_unreachable;
+    for (auto const& candidate : others)
     {
-        if (silent_.count(one.node) > 0)
-            still_silent.emplace(one.node, one.address);
+        if (unreachable_.count(candidate.node) > 0)
+            still_unreachable.emplace(candidate.node, candidate.address);
     }
-    silent_ = std::move(still_silent);
-    homes_.set_nodes(std::move(others));
+    unreachable_ = std::move(still_unreachable);
+    placement_.set_nodes(std::move(others));
 }
 
-bool quota_exchange::is_first_for(workspace_name const& owner) const
+bool quota_exchange::is_preferred_coordinator_of(
+    workspace_name const& owner) const
 {
-    return homes_.is_first(key_of(owner));
+    return placement_.is_first(group_key(owner));
 }
 
-quota_message quota_exchange::own_message(quota_verb verb) const
+quota_message quota_exchange::make_message(quota_verb verb) const
 {
-    quota_message to;
-    to.verb = verb;
-    to.node = self_;
-    return to;
+    quota_message message;
+    message.verb = verb;
+    message.node = self_;
+    return message;
 }
 
 void quota_exchange::take(workspace_name const& owner, answer_fn done)
@@ -86,54 +90,55 @@
         done({quota_decision::granted}, {});
         return;
     }
-    auto message = own_message(quota_verb::ask);
+    auto message = make_message(quota_verb::request_token);
     message.request.owner = owner;
     message.request.limit = *known.limit;
     message.configuration = known.configuration;
-    decide(std::move(message), options_.most_candidates, std::move(done));
+    decide(std::move(message), options_.max_candidates, std::move(done));
 }
 
 void quota_exchange::decide(
     quota_message message, int candidates_left, answer_fn done)
 {
-    auto const* home = homes_.home_of(key_of(message.request.owner), clock_());
-    if (home == nullptr)
+    auto const* coordinator =
+        placement_.home_of(group_key(message.request.owner), clock_());
+    if (coordinator == nullptr)
     {
-        done(decide_here(message), {});
+        done(decide_locally(message), {});
         return;
     }
-    auto const passed_on_enough = message.hops > most_hops;
-    if (passed_on_enough || candidates_left == 0 ||
-        pending_.size() >= options_.most_pending)
+    auto const forward_limit_reached = message.hops > max_forwards;
+    if (forward_limit_reached || candidates_left == 0 ||
+        pending_.size() >= options_.max_pending)
     {
         done(undecided(), {});
         return;
     }
-    auto const number = ++last_number_;
+    auto const request_id = ++last_request_id_;
     message.node = self_;
-    message.number = number;
-    auto const patience =
-        message.hops > 0 ? options_.patience_passed_on : options_.patience;
+    message.request_id = request_id;
+    auto const timeout =
+        message.hops > 0 ? options_.forwarded_timeout : options_.timeout;
     pending_.emplace(
-        number,
-        open_ask{
-            std::move(message), *home, candidates_left - 1, std::move(done)});
-    send_ask(number);
-    await_answer(number, patience);
+        request_id, pending_request{
+                        std::move(message), *coordinator, candidates_left - 1,
+                        std::move(done)});
+    send_request(request_id);
+    schedule_timeouts(request_id, timeout);
 }
 
-quota_answer quota_exchange::decide_here(quota_message const& message)
+quota_answer quota_exchange::decide_locally(quota_message const& message)
 {
-    if (!homes_.knows_nodes())
+    if (!placement_.knows_nodes())
         return undecided();
     auto request = message.request;
-    request.limit = newest_limit(message);
+    request.limit = newer_limit(message);
     return coordinator_.take(request, clock_(), hooks_.reach());
 }
 
-/// \return the limit of the newer one of the sender's and the own
-/// configuration.
-rate_limit quota_exchange::newest_limit(quota_message const& message) const
+/// \return the limit from the newer of the sender's and this node's
+/// configurations.
+rate_limit quota_exchange::newer_limit(quota_message const& message) const
 {
     auto const own = hooks_.limit_of(message.request.owner);
     return own.limit && own.configuration >= message.configuration
@@ -141,72 +146,76 @@
                : message.request.limit;
 }
 
-void quota_exchange::send_ask(std::uint64_t number)
+void quota_exchange::send_request(std::uint64_t request_id)
 {
-    auto const found = pending_.find(number);
+    auto const found = pending_.find(request_id);
     if (found != pending_.end())
-        hooks_.send(found->second.to.address, encode(found->second.message));
+        hooks_.send(
+            found->second.candidate.address, encode(found->second.message));
 }
 
-void quota_exchange::await_answer(std::uint64_t number, duration patience)
+void quota_exchange::schedule_timeouts(
+    std::uint64_t request_id, duration timeout)
 {
-    if (patience > options_.resend_after)
+    if (timeout > options_.resend_after)
     {
         hooks_.later(
             options_.resend_after,
-            [this, alive = alive_, number]
+            [this, is_alive = alive_, request_id]
             {
-                if (*alive)
-                    send_ask(number);
+                if (*is_alive)
+                    send_request(request_id);
             });
     }
     hooks_.later(
-        patience,
-        [this, alive = alive_, number]
+        timeout,
+        [this, is_alive = alive_, request_id]
         {
-            if (*alive && pending_.count(number) > 0)
-                next_candidate(number);
+            if (*is_alive && pending_.count(request_id) > 0)
+                try_next_candidate(request_id);
         });
 }
 
-/// The one that was asked did not answer, or can't decide.
-void quota_exchange::next_candidate(std::uint64_t number)
+/// Called if the asked node timed out or answered `undecided`.
+void quota_exchange::try_next_candidate(std::uint64_t request_id)
 {
-    auto const found = pending_.find(number);
-    auto one = std::move(found->second);
+    auto const found = pending_.find(request_id);
+    auto pending = std::move(found->second);
     pending_.erase(found);
-    suspect(one.to);
-    decide(std::move(one.message), one.candidates_left, std::move(one.done));
+    mark_unreachable(pending.candidate);
+    decide(
+        std::move(pending.message), pending.candidates_left,
+        std::move(pending.done));
 }
 
-void quota_exchange::suspect(home_candidate const& node)
+void quota_exchange::mark_unreachable(home_candidate const& node)
 {
-    homes_.did_not_answer(node.node, clock_());
-    auto const is_new = silent_.emplace(node.node, node.address).second;
+    placement_.did_not_answer(node.node, clock_());
+    auto const is_new = unreachable_.emplace(node.node, node.address).second;
     if (is_new && hooks_.on_change)
         hooks_.on_change(node.node, false);
 }
 
-void quota_exchange::present(std::string const& node)
+void quota_exchange::mark_reachable(std::string const& node)
 {
-    if (silent_.erase(node) == 0)
+    if (unreachable_.erase(node) == 0)
         return;
-    homes_.answered(node);
+    placement_.answered(node);
     if (hooks_.on_change)
         hooks_.on_change(node, true);
 }
 
 void quota_exchange::give_back(workspace_name const& owner)
 {
-    auto const* home = homes_.home_of(key_of(owner), clock_());
-    if (home == nullptr)
+    auto const* coordinator = placement_.home_of(group_key(owner), clock_());
+    if (coordinator == nullptr)
     {
         coordinator_.give_back(owner);
         return;
     }
-    auto message = own_message(quota_verb::give_back);
+    auto message = make_message(quota_verb::give_back);
     message.request.owner = owner;
-    hooks_.send(home->address, encode(message));
+    hooks_.send(coordinator->address, encode(message));
 }
 
 bool quota_exchange::handle(
@@ -217,68 +226,68 @@
         return false;
     switch (message->verb)
     {
-    case quota_verb::ask:
+    case quota_verb::request_token:
     {
-        auto passed_on = *message;
-        ++passed_on.hops;
+        auto forwarded = *message;
+        ++forwarded.hops;
         decide(
-            std::move(passed_on), options_.most_candidates,
-            [this, number = message->number,
+            std::move(forwarded), options_.max_candidates,
+            [this, request_id = message->request_id,
              reply](quota_answer const& answer, std::string const&)
             {
-                auto to = own_message(quota_verb::answer);
-                to.number = number;
-                to.answer = answer;
-                reply(encode(to));
+                auto answer_message = make_message(quota_verb::answer);
+                answer_message.request_id = request_id;
+                answer_message.answer = answer;
+                reply(encode(answer_message));
             });
         break;
     }
     case quota_verb::answer:
-        answered(*message);
+        handle_answer(*message);
         break;
     case quota_verb::give_back:
         coordinator_.give_back(message->request.owner);
         break;
     case quota_verb::ping:
-        // Without the members a node can't coordinate yet.
-        if (homes_.knows_nodes())
-            reply(encode(own_message(quota_verb::pong)));
+        // A node that does not know the members yet can't be a coordinator.
+        if (placement_.knows_nodes())
+            reply(encode(make_message(quota_verb::pong)));
         break;
     case quota_verb::pong:
-        present(message->node);
+        mark_reachable(message->node);
         break;
     }
     return true;
 }
 
-void quota_exchange::answered(quota_message const& message)
+void quota_exchange::handle_answer(quota_message const& message)
 {
-    auto const found = pending_.find(message.number);
-    if (found == pending_.end() || found->second.to.node != message.node)
+    auto const found = pending_.find(message.request_id);
+    if (found == pending_.end() || found->second.candidate.node != message.node)
         return;
     if (message.answer.decision == quota_decision::undecided)
     {
-        next_candidate(message.number);
+        try_next_candidate(message.request_id);
         return;
     }
-    auto const one = std::move(found->second);
+    auto const pending = std::move(found->second);
     pending_.erase(found);
-    present(message.node);
-    one.done(message.answer, message.node);
+    mark_reachable(message.node);
+    pending.done(message.answer, message.node);
 }
 
 void quota_exchange::tick()
 {
     auto const now = clock_();
-    coordinator_.drop_if(
+    coordinator_.erase_if(
         [this, now](workspace_name const& owner)
-        { return homes_.home_of(key_of(owner), now) != nullptr; });
+        { return placement_.home_of(group_key(owner), now) != nullptr; });
     coordinator_.tick(now, hooks_.reach());
-    if (silent_.empty() || now - pinged_at_ < options_.ping_every)
+    if (unreachable_.empty() || now - last_ping_ < options_.ping_interval)
         return;
-    pinged_at_ = now;
-    for (auto const& [node, address] : silent_)
-        hooks_.send(address, encode(own_message(quota_verb::ping)));
+    last_ping_ = now;
+    for (auto const& [node, address] : unreachable_)
+        hooks_.send(address, encode(make_message(quota_verb::ping)));
 }
 
 } // namespace walnutmill
--- a/src/entry/quota_exchange.hpp
+++ b/src/entry/quota_exchange.hpp
@@ -2,17 +2,23 @@
 #define WALNUTMILL_SRC_ENTRY_QUOTA_EXCHANGE_HPP
 
 /// \file
-/// Asks the coordinator of a workspace for each of its requests, and answers
-/// other nodes as the coordinator of theirs.
+/// Sends a rate-limit request to the workspace's coordinator for each of its
+/// requests, and answers those of other nodes where this node is the
+/// coordinator.
 ///
-/// Coordinators are chosen by weighted rendezvous hashing over the members, so
-/// that the weakest nodes are seldom chosen. One that falls silent is passed
-/// over until it answers a ping, and the next one stands in for it. On each
-/// side of a partition a coordinator grants the part of the limit that its side
-/// is of all nodes. A node that is asked but knows a better one passes the ask
-/// on, so that a single node's wrong suspicion makes no second coordinator. A
-/// lease on a row of the store, the alternative, ends with the store's outages
-/// and takes seconds to pass on.
+/// Load: each request of a limited workspace, at any node, needs one decision
+/// of the coordinator. Without the exchange each node could only enforce its
+/// own share of the limit, which refuses small workspaces far below it.
+///
+/// Coordinators are chosen by weighted rendezvous hashing over the members,
+/// which seldom selects the weakest nodes. A coordinator that stops answering
+/// is skipped until it answers a ping, and the next node in hash order replaces
+/// it. During a network partition the coordinator on each side grants a share
+/// of the limit equal to its side's share of all nodes. A node that receives a
+/// rate-limit request but knows a preferred coordinator forwards the request,
+/// so that one node's false suspicion does not create a second coordinator.
+/// The alternative, a lease on a row of the store, is lost during outages of
+/// the store and takes seconds to move to another node.
 
 #include <walnutmill/quota.hpp>
 
@@ -35,22 +41,23 @@
 
 struct quota_exchange_options
 {
-    /// Pause after which an unanswered ask is sent again.
+    /// Delay after which an unanswered rate-limit request is sent again.
     std::chrono::milliseconds resend_after{40};
-    /// Silence after which a coordinator is passed over.
-    std::chrono::milliseconds patience{110};
-    /// The same where the ask was passed on: below what its sender waits.
-    std::chrono::milliseconds patience_passed_on{50};
-    /// Coordinators asked for one request.
-    int most_candidates = 3;
-    /// Asks under way, of this node and passed on.
-    std::size_t most_pending = 4'096;
-    /// Interval between pings to nodes that fell silent.
-    std::chrono::milliseconds ping_every{500};
-    /// A silent node is passed over this long where it answers no ping.
-    std::chrono::seconds passed_over_for{10};
+    /// Timeout after which an unanswering coordinator is skipped.
+    std::chrono::milliseconds timeout{110};
+    /// Timeout of a forwarded request; shorter than the timeout of its sender.
+    std::chrono::milliseconds forwarded_timeout{50};
+    /// Maximum number of coordinators tried per request.
+    int max_candidates = 3;
+    /// Maximum number of pending rate-limit requests, own and forwarded.
+    std::size_t max_pending = 4'096;
+    /// Interval between pings to unreachable nodes.
+    std::chrono::milliseconds ping_interval{500};
+    /// How long an unreachable node is skipped if it answers no ping.
+    std::chrono::seconds skip_unreachable_for{10};
 };
 
+/// Rate-limit client and coordinator of one node.
 class quota_exchange
 {
 public:
@@ -64,83 +71,87 @@
 
     struct hooks
     {
-        /// Sends a datagram to IP:PORT; it may get lost.
+        /// Sends a datagram to IP:PORT; delivery is not guaranteed.
         std::function<void(std::string const& address, std::string bytes)> send;
-        /// Calls back after a while.
+        /// Runs the function after the given delay.
         std::function<void(duration after, std::function<void()>)> later;
         std::function<known_limit(workspace_name const&)> limit_of;
-        /// \return the part of all nodes that is in touch with this one, 0
-        /// to 1.
+        /// \return the reachable share of members, 0 to 1.
         std::function<double()> reach;
-        /// A coordinator fell silent, or answers again; null: not told.
-        std::function<void(std::string const& node, bool answers)> on_change{};
+        /// Called when a coordinator becomes unreachable or reachable again;
+        /// may be null.
+        std::function<void(std::string const& node, bool reachable)>
+            on_change{};
     };
 
-    /// \param coordinator the node that answered; empty: this one
+    /// \param coordinator the node that decided; empty: this node
     using answer_fn = std::function<void(
         quota_answer const& answer, std::string const& coordinator)>;
 
     quota_exchange(
         clock_fn clock, std::string self, double own_strength,
-        quota_bounds bounds, hooks to, quota_exchange_options options = {});
+        quota_bounds bounds, hooks callbacks,
+        quota_exchange_options options = {});
     ~quota_exchange();
     quota_exchange(quota_exchange const&) = delete;
     quota_exchange& operator=(quota_exchange const&) = delete;
 
-    /// \param others the other nodes
+    /// \param others all members except this node
     void set_nodes(std::vector<home_candidate> others);
-    bool knows_nodes() const { return homes_.knows_nodes(); }
-    /// \return true where this node goes before all others as the workspace's
-    /// coordinator.
-    bool is_first_for(workspace_name const& owner) const;
+    bool knows_nodes() const { return placement_.knows_nodes(); }
+    /// \return true if this node comes first in the hash order of the
+    /// workspace's coordinators.
+    bool is_preferred_coordinator_of(workspace_name const& owner) const;
     void set_bounds(quota_bounds bounds) { coordinator_.set_bounds(bounds); }
 
-    /// Asks for one request. \param done called once, maybe at once
+    /// Requests a token for one request of the workspace.
+    /// \param done called exactly once, possibly before this returns
     void take(workspace_name const& owner, answer_fn done);
 
-    /// Returns what was granted to a request that reached no engine.
+    /// Returns the token of a granted request that never reached an engine.
     void give_back(workspace_name const& owner);
 
-    /// A datagram came. \param reply sends one back
-    /// \return false where it is no message of this exchange
+    /// Processes a received datagram.
+    /// \param reply sends a datagram to its sender
+    /// \return false if the datagram is not a message of this protocol
     bool handle(
         std::string_view bytes, std::function<void(std::string)> const& reply);
 
-    /// Refills the buckets and pings silent nodes; call it a few times a
+    /// Refills the buckets and pings unreachable nodes. Call it a few times per
     /// second.
     void tick();
 
 private:
-    struct open_ask
+    struct pending_request
     {
         quota_message message;
-        home_candidate to;
+        home_candidate candidate;
         int candidates_left = 0;
         answer_fn done;
     };
 
     void decide(quota_message message, int candidates_left, answer_fn done);
-    quota_answer decide_here(quota_message const& message);
-    rate_limit newest_limit(quota_message const& message) const;
-    void send_ask(std::uint64_t number);
-    void await_answer(std::uint64_t number, duration patience);
-    void next_candidate(std::uint64_t number);
-    void answered(quota_message const& message);
-    void suspect(home_candidate const& node);
-    void present(std::string const& node);
-    quota_message own_message(quota_verb verb) const;
+    quota_answer decide_locally(quota_message const& message);
+    rate_limit newer_limit(quota_message const& message) const;
+    void send_request(std::uint64_t request_id);
+    void schedule_timeouts(std::uint64_t request_id, duration timeout);
+    void try_next_candidate(std::uint64_t request_id);
+    void handle_answer(quota_message const& message);
+    void mark_unreachable(home_candidate const& node);
+    void mark_reachable(std::string const& node);
+    quota_message make_message(quota_verb verb) const;
 
     clock_fn clock_;
     std::string self_;
     quota_coordinator coordinator_;
-    program_homes homes_;
+    program_homes placement_;
     hooks hooks_;
     quota_exchange_options options_;
-    std::uint64_t last_number_ = 0;
-    std::unordered_map<std::uint64_t, open_ask> pending_;
-    /// Nodes that fell silent, and their addresses.
-    std::map<std::string, std::string> silent_;
-    time_point pinged_at_{};
+    std::uint64_t last_request_id_ = 0;
+    std::unordered_map<std::uint64_t, pending_request> pending_;
+    /// Addresses of unreachable nodes by node name.
+    std::map<std::string, std::string> unreachable_;
+    time_point last_ping_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/entry/quota_message.hpp
+++ b/src/entry/quota_message.hpp
@@ -2,7 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_QUOTA_MESSAGE_HPP
 
 /// \file
-/// Datagrams by which nodes ask a workspace's coordinator for its tokens.
+/// Datagrams of the rate-limit protocol between nodes and the coordinator of a
+/// workspace, encoded as CBOR arrays.
 
 #include <walnutmill/quota.hpp>
 
@@ -16,34 +17,34 @@
 
 enum class quota_verb : std::uint8_t
 {
-    /// Asks for one request.
-    ask = 1,
+    /// Rate-limit request for one token.
+    request_token = 1,
     answer = 2,
-    /// A granted request never reached an engine.
+    /// Returns the token of a granted request that never reached an engine.
     give_back = 3,
-    /// Is the node there?
+    /// Reachability probe, answered by `pong`.
     ping = 4,
     pong = 5
 };
 
 struct quota_message
 {
-    quota_verb verb = quota_verb::ask;
-    /// The sender.
+    quota_verb verb = quota_verb::request_token;
+    /// Name of the sending node.
     std::string node;
-    /// Names an ask of its sender; its answer bears the same.
-    std::uint64_t number = 0;
-    /// The limit is what the sender's configuration allows.
+    /// Identifies a rate-limit request of its sender; the answer repeats it.
+    std::uint64_t request_id = 0;
+    /// Its limit is the one of the sender's configuration.
     quota_request request;
     /// Version of the sender's configuration.
     std::uint64_t configuration = 0;
-    /// Nodes that have passed the ask on.
+    /// Number of nodes that forwarded the request.
     std::uint32_t hops = 0;
     quota_answer answer;
 };
 
 std::string encode(quota_message const& message);
-/// \return empty where the bytes are no such message.
+/// \return empty if the bytes are not a valid message of this protocol.
 std::optional<quota_message> decode_quota_message(std::string_view bytes);
 
 } // namespace walnutmill
--- a/src/entry/workspace_counters.cpp
+++ b/src/entry/workspace_counters.cpp
@@ -5,17 +5,18 @@
 namespace
 {
 
-/// Characters that end a label's value, or escape in it.
-bool is_plain(std::string const& text)
+/// \return false if the text holds a character that would have to be escaped in
+/// a label value.
+bool needs_no_escape(std::string const& text)
 {
     return text.find_first_of("\"\\\n") == std::string::npos;
 }
 
 } // namespace
 
-std::string_view to_string(quota_decision one)
+std::string_view to_string(quota_decision decision)
 {
-    switch (one)
+    switch (decision)
     {
     case quota_decision::granted:
         return "granted";
@@ -31,12 +32,13 @@
     workspace_name const& owner, quota_decision decision)
 {
     auto const& name = owner.str();
-    auto labelled = labels_.count(name) > 0;
-    if (!labelled && labels_.size() < most_labels_ && is_plain(name))
-        labelled = labels_.insert(name).second;
+    auto has_label = labelled_workspaces_.count(name) > 0;
+    if (!has_label && labelled_workspaces_.size() < max_labels_ &&
+        needs_no_escape(name))
+        has_label = labelled_workspaces_.insert(name).second;
     counters_.count(
         "walnutmill_workspace_requests_total{workspace=\"" +
-        (labelled ? name : "other") + "\",quota=\"" +
+        (has_label ? name : "other") + "\",quota=\"" +
         std::string(to_string(decision)) + "\"}");
 }
 
--- a/src/entry/workspace_counters.hpp
+++ b/src/entry/workspace_counters.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_WORKSPACE_COUNTERS_HPP
 
 /// \file
-/// Counts the requests of each workspace by what its limit said, with a bounded
-/// number of labels.
+/// Counts the requests of each workspace by the decision of its rate limit. The
+/// number of workspace labels is bounded.
 
 #include <walnutmill/metrics.hpp>
 #include <walnutmill/quota.hpp>
@@ -16,16 +16,15 @@
 namespace walnutmill
 {
 
-std::string_view to_string(quota_decision one);
+std::string_view to_string(quota_decision decision);
 
 class workspace_counters
 {
 public:
-    /// \param most_labels workspaces with a label of their own: those that came
-    /// first; all others count as "other"
-    explicit workspace_counters(
-        metrics& counters, std::size_t most_labels = 100)
-        : counters_(counters), most_labels_(most_labels)
+    /// \param max_labels number of workspaces with their own label; the first
+    /// ones seen get it, all others are counted as "other"
+    explicit workspace_counters(metrics& counters, std::size_t max_labels = 100)
+        : counters_(counters), max_labels_(max_labels)
     {
     }
 
@@ -33,8 +32,8 @@
 
 private:
     metrics& counters_;
-    std::size_t most_labels_;
-    std::unordered_set<std::string> labels_;
+    std::size_t max_labels_;
+    std::unordered_set<std::string> labelled_workspaces_;
 };
 
 } // namespace walnutmill
--- a/test/quota-test.cpp
+++ b/test/quota-test.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Without requests besides, so that a bucket holds the burst alone.
+/// Zero slack, so that a full bucket holds exactly the burst.
 quota_bounds const bounds{seconds(5), 0.4, 0};
 
 struct quota_fixture
@@ -31,7 +31,7 @@
         return coordinator.take({owner, limit}, clock.now());
     }
 
-    int granted_of(int requests)
+    int grants_among(int requests)
     {
         int granted = 0;
         for (int i = 0; i < requests; ++i)
@@ -39,7 +39,7 @@
         return granted;
     }
 
-    void fill_up()
+    void fill_bucket()
     {
         take();
         clock.advance(seconds(10));
@@ -49,63 +49,63 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: a full bucket grants a burst, then rate")
+    quota_fixture, "quota: a full bucket grants the burst, then the rate")
 {
-    fill_up();
-    CHECK(granted_of(30) == 10);
+    fill_bucket();
+    CHECK(grants_among(30) == 10);
     clock.advance(milliseconds(500));
-    CHECK(granted_of(30) == 5);
+    CHECK(grants_among(30) == 5);
 }
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: a coordinator without a past grants a part of it")
+    quota_fixture, "quota: a new coordinator grants a part of the burst")
 {
-    auto const first = granted_of(100);
+    auto const first = grants_among(100);
     CHECK(first >= 1);
-    // Four of them in a window stay within what may be exceeded.
+    // Four new coordinators within a window stay below the allowed excess.
     CHECK(4 * first <= (10 * 5 + 10) * 0.4);
 }
 
-TEST_CASE("quota: a full bucket holds a part of what may be exceeded besides")
+TEST_CASE("quota: a full bucket also holds a part of the slack")
 {
     quota_bounds const wide{seconds(5), 0.1, 20};
-    rate_limit const of{10, 10};
-    CHECK(bucket_capacity(of, wide) > 10);
-    CHECK(bucket_capacity(of, wide) <= 10 + wide.slack / 2);
-    CHECK(bucket_capacity(of, bounds) == 10);
+    rate_limit const limit_under_test{10, 10};
+    CHECK(bucket_capacity(limit_under_test, wide) > 10);
+    CHECK(bucket_capacity(limit_under_test, wide) <= 10 + wide.slack / 2);
+    CHECK(bucket_capacity(limit_under_test, bounds) == 10);
 }
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: a node that stood still grants no refill for it")
+    quota_fixture, "quota: a stalled node adds no tokens for the stall")
 {
-    fill_up();
-    granted_of(20);
+    fill_bucket();
+    grants_among(20);
     coordinator.tick(clock.now(), 1);
     clock.advance(seconds(3));
-    CHECK(granted_of(20) == 0);
+    CHECK(grants_among(20) == 0);
     clock.advance(milliseconds(500));
-    CHECK(granted_of(20) == 5);
+    CHECK(grants_among(20) == 5);
 }
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: a coordinator grants the part its side is of all")
+    quota_fixture, "quota: a coordinator grants its reachable share")
 {
-    fill_up();
-    granted_of(20);
+    fill_bucket();
+    grants_among(20);
     for (int i = 0; i < 5; ++i)
     {
         coordinator.tick(clock.now(), 0.2);
         clock.advance(milliseconds(200));
     }
     coordinator.tick(clock.now(), 0.2);
-    CHECK(granted_of(20) == 2);
+    CHECK(grants_among(20) == 2);
 }
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: those refused are told different times to come back")
+    quota_fixture, "quota: refused requests get distinct retry-after times")
 {
-    fill_up();
-    granted_of(10);
+    fill_bucket();
+    grants_among(10);
     std::vector<milliseconds> waits;
     waits.reserve(5);
     for (int i = 0; i < 5; ++i)
@@ -113,47 +113,49 @@
     CHECK(waits.front() > milliseconds(0));
     CHECK(std::is_sorted(waits.begin(), waits.end()));
     CHECK(std::adjacent_find(waits.begin(), waits.end()) == waits.end());
-    // Whoever comes back when told finds a token.
+    // A retry after the given time finds a token.
     clock.advance(waits.front());
     CHECK(take().decision == quota_decision::granted);
 }
 
-TEST_CASE_METHOD(quota_fixture, "quota: a wait is bounded at a slow rate")
+TEST_CASE_METHOD(quota_fixture, "quota: retry after is bounded at a slow rate")
 {
     limit = {0.01, 1};
-    granted_of(10);
+    grants_among(10);
     CHECK(take().retry_after <= seconds(5));
 }
 
-TEST_CASE("quota: a workspace at five times its limit ends programs at it")
+TEST_CASE("quota: programs complete at the limit under fivefold demand")
 {
-    // Each program makes 10 requests, 100 ms apart, and is lost with one that
-    // is refused twice.
-    constexpr int requests_each = 10;
+    // Each program makes 10 requests, 100 ms apart, and fails when a request is
+    // refused twice. A failed program wastes the tokens of its earlier
+    // requests, so the retry-after times must let most programs complete that
+    // the limit suffices for.
+    constexpr int requests_per_program = 10;
     rate_limit const limit{30, 30};
     manual_clock clock;
     quota_coordinator coordinator(quota_bounds{seconds(5), 0.1, 20});
     auto const random = seeded_random(5);
     struct program
     {
-        int left = requests_each;
+        int requests_left = requests_per_program;
         int refused = 0;
         time_point next{};
     };
     std::vector<program> programs;
-    int ended = 0;
+    int completed = 0;
     for (int step = 0; step < 6'000; ++step)
     {
         clock.advance(milliseconds(10));
         auto const now = clock.now();
-        // Fifteen a second, where three can be carried to their ends.
+        // 15 programs start per second; the limit suffices for 3.
         if (random() < 0.15)
-            programs.push_back({requests_each, 0, now});
+            programs.push_back({requests_per_program, 0, now});
         coordinator.tick(now, 1);
         for (std::size_t i = 0; i < programs.size(); ++i)
         {
             auto& one = programs[i];
-            if (one.left == 0 || one.refused > 1 || one.next > now)
+            if (one.requests_left == 0 || one.refused > 1 || one.next > now)
                 continue;
             auto const answer =
                 coordinator.take({workspace_name("w"), limit}, now);
@@ -161,7 +163,7 @@
             {
                 one.refused = 0;
                 one.next = now + milliseconds(100);
-                ended += --one.left == 0 ? 1 : 0;
+                completed += --one.requests_left == 0 ? 1 : 0;
                 continue;
             }
             ++one.refused;
@@ -169,38 +171,37 @@
                 now + std::min<duration>(answer.retry_after, milliseconds(300));
         }
     }
-    // Three a second for a minute is all that the limit carries.
-    CHECK(ended >= 0.8 * 180);
+    // The limit suffices for 3 programs per second, 180 in the minute.
+    CHECK(completed >= 0.8 * 180);
 }
 
-TEST_CASE_METHOD(quota_fixture, "quota: a lower limit binds at once")
+TEST_CASE_METHOD(quota_fixture, "quota: a lower limit applies at once")
 {
     limit = {100, 100};
-    fill_up();
+    fill_bucket();
     limit = {2, 2};
-    CHECK(granted_of(50) == 2);
+    CHECK(grants_among(50) == 2);
     limit = {0, 0};
-    CHECK(granted_of(50) == 50);
+    CHECK(grants_among(50) == 50);
 }
 
 TEST_CASE_METHOD(
     quota_fixture, "quota: a limit without a burst serves its rate")
 {
     limit = {10, 0};
-    fill_up();
-    CHECK(granted_of(5) == 1);
+    fill_bucket();
+    CHECK(grants_among(5) == 1);
     clock.advance(milliseconds(100));
-    CHECK(granted_of(5) == 1);
+    CHECK(grants_among(5) == 1);
 }
 
-TEST_CASE_METHOD(
-    quota_fixture, "quota: what is given back can be granted again")
+TEST_CASE_METHOD(quota_fixture, "quota: a returned token can be granted again")
 {
-    fill_up();
-    CHECK(granted_of(20) == 10);
+    fill_bucket();
+    CHECK(grants_among(20) == 10);
     coordinator.give_back(owner);
     coordinator.give_back(workspace_name("unknown"));
-    CHECK(granted_of(5) == 1);
+    CHECK(grants_among(5) == 1);
 }
 
 TEST_CASE_METHOD(quota_fixture, "quota: the number of buckets is bounded")
@@ -214,28 +215,30 @@
 }
 
 TEST_CASE_METHOD(
-    quota_fixture, "quota: no window of any draw of load passes the limit")
+    quota_fixture, "quota: no window exceeds the limit under random load")
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
-        quota_coordinator drawn(bounds, 100);
+        quota_coordinator random_coordinator(bounds, 100);
         auto const random = seeded_random(seed);
-        rate_limit const of{1 + random() * 100, random() * 100};
-        auto const most = of.per_second * 5 + std::max(of.burst, 1.0) + 1e-6;
+        rate_limit const limit_under_test{1 + random() * 100, random() * 100};
+        auto const max_in_window = limit_under_test.per_second * 5 +
+                                   std::max(limit_under_test.burst, 1.0) + 1e-6;
         std::deque<time_point> granted;
         for (int i = 0; i < 2'000; ++i)
         {
-            auto const pause = random() * 2 * random() / of.per_second;
+            auto const pause =
+                random() * 2 * random() / limit_under_test.per_second;
             clock.advance(std::chrono::duration_cast<duration>(
                 std::chrono::duration<double>(pause)));
             auto const now = clock.now();
-            if (drawn.take({owner, of}, now).decision ==
-                quota_decision::granted)
+            if (random_coordinator.take({owner, limit_under_test}, now)
+                    .decision == quota_decision::granted)
                 granted.push_back(now);
             while (!granted.empty() && now - granted.front() >= bounds.window)
                 granted.pop_front();
             INFO("seed " << seed);
-            REQUIRE(static_cast<double>(granted.size()) <= most);
+            REQUIRE(static_cast<double>(granted.size()) <= max_in_window);
         }
     }
 }
--- a/test/quota_exchange-test.cpp
+++ b/test/quota_exchange-test.cpp
@@ -18,206 +18,212 @@
 workspace_name const large("large");
 workspace_name const greedy("greedy");
 
-/// One that stays below its limit, as most do, a large one, and one that sends
-/// ten times what it may.
-void add_loads(quota_world& world)
+/// A small workspace that stays below its limit, as most do, a large one, and
+/// one that sends ten times its limit.
+void add_loads(quota_cluster& cluster)
 {
-    world.add_load({small, {4, 4}, 2});
-    world.add_load({large, {300, 300}, 190});
-    world.add_load({greedy, {30, 30}, 300});
+    cluster.add_load({small, {4, 4}, 2});
+    cluster.add_load({large, {300, 300}, 190});
+    cluster.add_load({greedy, {30, 30}, 300});
 }
 
-void check_windows(quota_world const& world)
+void check_windows(quota_cluster const& cluster)
 {
     for (auto const& owner : {small, large, greedy})
     {
-        auto const& seen = world.result(owner);
+        auto const& result = cluster.result(owner);
         INFO(owner.str());
         CHECK(
-            static_cast<double>(seen.most_in_window) <= seen.allowed_in_window);
+            static_cast<double>(result.max_in_window) <=
+            result.allowed_in_window);
     }
 }
 
-/// Part of what a single bucket would have granted.
-double served(quota_world const& world, workspace_name const& owner)
+/// \return the granted requests as a fraction of those that a single token
+/// bucket would have granted.
+double
+served_fraction(quota_cluster const& cluster, workspace_name const& owner)
 {
-    auto const& seen = world.result(owner);
-    return static_cast<double>(seen.granted) /
-           static_cast<double>(seen.granted_centrally);
+    auto const& result = cluster.result(owner);
+    return static_cast<double>(result.granted) /
+           static_cast<double>(result.granted_by_single_bucket);
 }
 
-quota_world_options options_of(std::size_t nodes, std::uint64_t seed)
+quota_cluster_options cluster_options(std::size_t nodes, std::uint64_t seed)
 {
-    quota_world_options to;
+    quota_cluster_options to;
     to.nodes = nodes;
-    to.strong = nodes / 4;
+    to.strong_nodes = nodes / 4;
     to.seed = seed;
     return to;
 }
 
 } // namespace
 
-TEST_CASE("quota exchange: in calm each workspace gets what one bucket grants")
+TEST_CASE("quota exchange: without faults grants match a single bucket")
 {
     for (auto const nodes : {std::size_t{1}, std::size_t{85}, std::size_t{390}})
     {
         INFO(nodes << " nodes");
-        quota_world world(options_of(nodes, 1));
-        add_loads(world);
-        world.play(seconds(30));
-        check_windows(world);
-        CHECK(served(world, small) > 0.98);
-        CHECK(served(world, large) > 0.98);
-        CHECK(served(world, greedy) > 0.9);
-        CHECK(world.result(small).over_limit <= 2);
-        CHECK(world.result(greedy).over_limit > 7'000);
+        quota_cluster cluster(cluster_options(nodes, 1));
+        add_loads(cluster);
+        cluster.run_for(seconds(30));
+        check_windows(cluster);
+        CHECK(served_fraction(cluster, small) > 0.98);
+        CHECK(served_fraction(cluster, large) > 0.98);
+        CHECK(served_fraction(cluster, greedy) > 0.9);
+        CHECK(cluster.result(small).over_limit <= 2);
+        CHECK(cluster.result(greedy).over_limit > 7'000);
     }
 }
 
-TEST_CASE(
-    "quota exchange: a killed coordinator is stood in for, and comes back")
+TEST_CASE("quota exchange: a killed coordinator is replaced and returns")
 {
-    quota_world world(options_of(85, 2));
-    add_loads(world);
-    world.play(seconds(10));
-    auto const at = world.coordinator_of(greedy);
-    world.kill(at);
-    world.play(seconds(4));
-    world.start(at);
-    world.play(seconds(10));
-    check_windows(world);
-    CHECK(served(world, greedy) > 0.9);
-    CHECK(served(world, large) > 0.95);
+    quota_cluster cluster(cluster_options(85, 2));
+    add_loads(cluster);
+    cluster.run_for(seconds(10));
+    auto const node = cluster.coordinator_of(greedy);
+    cluster.kill(node);
+    cluster.run_for(seconds(4));
+    cluster.start(node);
+    cluster.run_for(seconds(10));
+    check_windows(cluster);
+    CHECK(served_fraction(cluster, greedy) > 0.9);
+    CHECK(served_fraction(cluster, large) > 0.95);
 }
 
-TEST_CASE("quota exchange: a frozen coordinator wakes with its old belief")
+TEST_CASE("quota exchange: a frozen coordinator resumes with stale state")
 {
-    quota_world world(options_of(85, 3));
-    add_loads(world);
+    quota_cluster cluster(cluster_options(85, 3));
+    add_loads(cluster);
     for (int i = 0; i < 4; ++i)
     {
-        world.play(seconds(4));
-        auto const at = world.coordinator_of(greedy);
-        world.freeze(at);
-        world.play(seconds(3));
-        world.wake(at);
+        cluster.run_for(seconds(4));
+        auto const node = cluster.coordinator_of(greedy);
+        cluster.freeze(node);
+        cluster.run_for(seconds(3));
+        cluster.resume(node);
     }
-    world.play(seconds(6));
-    check_windows(world);
+    cluster.run_for(seconds(6));
+    check_windows(cluster);
 }
 
-TEST_CASE("quota exchange: the smaller side of a partition grants little")
+TEST_CASE("quota exchange: the minority side of a partition grants its share")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
     {
-        quota_world world(options_of(85, seed));
-        add_loads(world);
-        world.play(seconds(8));
-        std::set<std::size_t> some;
+        quota_cluster cluster(cluster_options(85, seed));
+        add_loads(cluster);
+        cluster.run_for(seconds(8));
+        std::set<std::size_t> separated;
         for (std::size_t i = 0; i < 14; ++i)
-            some.insert((i * 6 + seed) % 85);
-        some.insert(world.coordinator_of(greedy));
-        world.cut(some);
-        world.play(milliseconds(5'500));
-        world.heal();
-        world.play(seconds(8));
+            separated.insert((i * 6 + seed) % 85);
+        separated.insert(cluster.coordinator_of(greedy));
+        cluster.partition(separated);
+        cluster.run_for(milliseconds(5'500));
+        cluster.heal();
+        cluster.run_for(seconds(8));
         INFO("seed " << seed);
-        check_windows(world);
-        CHECK(served(world, large) > 0.9);
+        check_windows(cluster);
+        CHECK(served_fraction(cluster, large) > 0.9);
     }
 }
 
-TEST_CASE("quota exchange: all nodes start anew with limits nearly used")
+TEST_CASE("quota exchange: all nodes restart with limits nearly used up")
 {
-    quota_world world(options_of(85, 4));
-    add_loads(world);
-    world.play(seconds(10));
-    for (std::size_t i = 0; i < world.nodes(); ++i)
-        world.kill(i);
-    world.play(milliseconds(200));
-    for (std::size_t i = 0; i < world.nodes(); ++i)
-        world.start(i);
-    world.play(seconds(10));
-    check_windows(world);
-    CHECK(served(world, small) > 0.9);
+    quota_cluster cluster(cluster_options(85, 4));
+    add_loads(cluster);
+    cluster.run_for(seconds(10));
+    for (std::size_t i = 0; i < cluster.nodes(); ++i)
+        cluster.kill(i);
+    cluster.run_for(milliseconds(200));
+    for (std::size_t i = 0; i < cluster.nodes(); ++i)
+        cluster.start(i);
+    cluster.run_for(seconds(10));
+    check_windows(cluster);
+    CHECK(served_fraction(cluster, small) > 0.9);
 }
 
-TEST_CASE("quota exchange: a lower limit binds in the next window")
+TEST_CASE("quota exchange: a lower limit applies in the next window")
 {
-    quota_world world(options_of(85, 5));
-    add_loads(world);
-    world.play(seconds(10));
-    world.set_limit(greedy, {2, 2});
-    world.play(seconds(15));
-    auto const& seen = world.result(greedy);
-    CHECK(seen.allowed_in_window < 40);
-    world.set_limit(greedy, {400, 400});
-    auto const before = seen.granted;
-    world.play(seconds(10));
-    CHECK(seen.granted - before > 2'800);
+    quota_cluster cluster(cluster_options(85, 5));
+    add_loads(cluster);
+    cluster.run_for(seconds(10));
+    cluster.set_limit(greedy, {2, 2});
+    cluster.run_for(seconds(15));
+    auto const& result = cluster.result(greedy);
+    CHECK(result.allowed_in_window < 40);
+    cluster.set_limit(greedy, {400, 400});
+    auto const before = result.granted;
+    cluster.run_for(seconds(10));
+    CHECK(result.granted - before > 2'800);
 }
 
-TEST_CASE("quota exchange: drawn faults never let a window pass its limit")
+TEST_CASE("quota exchange: no window exceeds its limit under random faults")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
-        quota_world world(options_of(85, seed));
-        add_loads(world);
+        quota_cluster cluster(cluster_options(85, seed));
+        add_loads(cluster);
         auto const random = seeded_random(seed * 7'919);
-        auto const any = [&]
+        auto const random_node = [&]
         {
             return static_cast<std::size_t>(
-                random() * static_cast<double>(world.nodes()));
+                random() * static_cast<double>(cluster.nodes()));
         };
         for (int step = 0; step < 12; ++step)
         {
-            auto const at =
-                random() < 0.5 ? world.coordinator_of(greedy) : any();
-            world.play(milliseconds(500 + static_cast<int>(random() * 2'000)));
-            auto const drawn = random();
-            if (drawn < 0.35)
+            auto const node =
+                random() < 0.5 ? cluster.coordinator_of(greedy) : random_node();
+            cluster.run_for(
+                milliseconds(500 + static_cast<int>(random() * 2'000)));
+            auto const fault = random();
+            if (fault < 0.35)
             {
-                world.kill(at);
-                world.play(milliseconds(static_cast<int>(random() * 4'000)));
-                world.start(at);
+                cluster.kill(node);
+                cluster.run_for(
+                    milliseconds(static_cast<int>(random() * 4'000)));
+                cluster.start(node);
             }
-            else if (drawn < 0.7)
+            else if (fault < 0.7)
             {
-                world.freeze(at);
-                world.play(milliseconds(static_cast<int>(random() * 4'000)));
-                world.wake(at);
+                cluster.freeze(node);
+                cluster.run_for(
+                    milliseconds(static_cast<int>(random() * 4'000)));
+                cluster.resume(node);
             }
             else
             {
-                std::set<std::size_t> some{at};
+                std::set<std::size_t> separated{node};
                 for (int i = 0; i < 13; ++i)
-                    some.insert(any());
-                world.cut(some);
-                world.play(milliseconds(static_cast<int>(random() * 6'000)));
-                world.heal();
+                    separated.insert(random_node());
+                cluster.partition(separated);
+                cluster.run_for(
+                    milliseconds(static_cast<int>(random() * 6'000)));
+                cluster.heal();
             }
         }
-        world.play(seconds(5));
+        cluster.run_for(seconds(5));
         INFO("seed " << seed);
-        check_windows(world);
+        check_windows(cluster);
     }
 }
 
-TEST_CASE("quota exchange: unlimited workspaces take no message")
+TEST_CASE("quota exchange: unlimited workspaces cause no messages")
 {
-    quota_world world(options_of(85, 6));
-    world.add_load({small, {}, 100});
-    world.play(seconds(10));
-    CHECK(world.messages() == 0);
-    CHECK(world.result(small).granted > 900);
+    quota_cluster cluster(cluster_options(85, 6));
+    cluster.add_load({small, {}, 100});
+    cluster.run_for(seconds(10));
+    CHECK(cluster.messages() == 0);
+    CHECK(cluster.result(small).granted > 900);
 }
 
-TEST_CASE("quota message: what is encoded is decoded, other bytes are not")
+TEST_CASE("quota message: encoding round-trips, invalid bytes are rejected")
 {
     quota_message one;
     one.verb = quota_verb::answer;
     one.node = "n1";
-    one.number = 7;
+    one.request_id = 7;
     one.request = {small, {3.5, 9}};
     one.configuration = 12;
     one.hops = 1;
@@ -227,7 +233,7 @@
     REQUIRE(got);
     CHECK(got->verb == one.verb);
     CHECK(got->node == "n1");
-    CHECK(got->number == 7);
+    CHECK(got->request_id == 7);
     CHECK(got->request.owner == small);
     CHECK(got->request.limit == one.request.limit);
     CHECK(got->configuration == 12);
@@ -244,7 +250,7 @@
     CHECK_FALSE(decode_quota_message(encode(one)));
 }
 
-TEST_CASE("quota message: one on limits is none on loads, nor the other way")
+TEST_CASE("quota message: quota and load messages are told apart")
 {
     quota_message one;
     one.node = "n1";
--- a/test/quota_world.cpp
+++ b/test/quota_world.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr std::chrono::microseconds shortest_way{200};
-constexpr double way_spread_us = 900;
-constexpr std::chrono::milliseconds tick_every{200};
+constexpr std::chrono::microseconds min_network_delay{200};
+constexpr double network_delay_spread_us = 900;
+constexpr std::chrono::milliseconds tick_interval{200};
 constexpr double strong_cores = 0.5;
 constexpr double weak_cores = 0.12;
 
@@ -24,281 +24,290 @@
 
 } // namespace
 
-quota_world::quota_world(quota_world_options options)
+quota_cluster::quota_cluster(quota_cluster_options options)
     : options_(options), random_(seeded_random(options.seed))
 {
     nodes_.resize(options_.nodes);
     for (std::size_t i = 0; i < nodes_.size(); ++i)
     {
         nodes_[i].name = "n" + std::to_string(i);
-        nodes_[i].strength = i < options_.strong ? strong_cores : weak_cores;
-        make(i);
+        nodes_[i].strength =
+            i < options_.strong_nodes ? strong_cores : weak_cores;
+        create_node(i);
     }
     tick();
 }
 
-void quota_world::make(std::size_t at)
+void quota_cluster::create_node(std::size_t index)
 {
-    auto& one = nodes_[at];
-    auto const life = ++one.life;
-    quota_exchange::hooks to;
-    to.send = [this, at](std::string const& address, std::string bytes)
-    { send(at, address, std::move(bytes)); };
-    to.later = [this, at, life](duration after, std::function<void()> what)
+    auto& state = nodes_[index];
+    auto const generation = ++state.generation;
+    quota_exchange::hooks hooks;
+    hooks.send = [this, index](std::string const& address, std::string bytes)
+    { send(index, address, std::move(bytes)); };
+    hooks.later =
+        [this, index, generation](duration after, std::function<void()> action)
     {
-        at_time(
-            clock_.now() + after, [this, at, life, what = std::move(what)]
-            { for_node(at, life, what); });
+        schedule_at(
+            clock_.now() + after,
+            [this, index, generation, action = std::move(action)]
+            { run_on_node(index, generation, action); });
     };
-    to.limit_of = [this](workspace_name const& owner)
+    hooks.limit_of = [this](workspace_name const& owner)
     {
         auto const found = loads_.find(owner.str());
         quota_exchange::known_limit known{1, std::nullopt};
         if (found != loads_.end())
-            known.limit = found->second->one.limit;
+            known.limit = found->second->spec.limit;
         return known;
     };
-    to.reach = [this, at] { return reach_of(at); };
-    one.quotas = std::make_unique<quota_exchange>(
-        clock_.fn(), one.name, one.strength, options_.bounds, to);
+    hooks.reach = [this, index] { return reachable_share_of(index); };
+    state.quotas = std::make_unique<quota_exchange>(
+        clock_.fn(), state.name, state.strength, options_.bounds, hooks);
     std::vector<home_candidate> others;
     for (std::size_t i = 0; i < nodes_.size(); ++i)
     {
-        auto const strong = i < options_.strong;
+        auto const is_strong = i < options_.strong_nodes;
         auto const name = "n" + std::to_string(i);
-        if (i != at)
-            others.push_back({name, name, strong ? strong_cores : weak_cores});
+        if (i != index)
+            others.push_back(
+                {name, name, is_strong ? strong_cores : weak_cores});
     }
-    one.quotas->set_nodes(std::move(others));
+    state.quotas->set_nodes(std::move(others));
 }
 
-void quota_world::at_time(time_point when, std::function<void()> what)
+void quota_cluster::schedule_at(time_point when, std::function<void()> action)
 {
-    events_.emplace(when, std::move(what));
+    events_.emplace(when, std::move(action));
 }
 
-void quota_world::for_node(
-    std::size_t at, std::uint64_t life, std::function<void()> const& what)
+void quota_cluster::run_on_node(
+    std::size_t index, std::uint64_t generation,
+    std::function<void()> const& action)
 {
-    auto& one = nodes_[at];
-    if (!one.alive || one.life != life)
+    auto& state = nodes_[index];
+    if (!state.alive || state.generation != generation)
         return;
-    if (one.frozen)
-        one.waiting.push_back(what);
+    if (state.frozen)
+        state.deferred.push_back(action);
     else
-        what();
+        action();
 }
 
-bool quota_world::separated(std::size_t a, std::size_t b) const
+bool quota_cluster::is_separated(std::size_t a, std::size_t b) const
 {
-    return cut_.count(a) != cut_.count(b);
+    return partitioned_.count(a) != partitioned_.count(b);
 }
 
-bool quota_world::serves(std::size_t at) const
+bool quota_cluster::serves(std::size_t index) const
 {
-    auto const& one = nodes_[at];
-    auto const trusts =
-        cut_.count(at) == 0 || clock_.now() - cut_at_ <= options_.trusted;
-    return one.alive && !one.frozen && trusts;
+    auto const& state = nodes_[index];
+    auto const has_current_configuration =
+        partitioned_.count(index) == 0 ||
+        clock_.now() - partitioned_at_ <= options_.max_configuration_age;
+    return state.alive && !state.frozen && has_current_configuration;
 }
 
-double quota_world::reach_of(std::size_t at) const
+double quota_cluster::reachable_share_of(std::size_t index) const
 {
-    auto const noticed = clock_.now() - cut_at_ > options_.notices_after;
-    std::size_t heard = 0;
+    auto const detected =
+        clock_.now() - partitioned_at_ > options_.detection_delay;
+    std::size_t reachable = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i)
     {
-        auto const there = nodes_[i].alive && !nodes_[i].frozen;
-        if (there && (!noticed || !separated(at, i)))
-            ++heard;
+        auto const is_running = nodes_[i].alive && !nodes_[i].frozen;
+        if (is_running && (!detected || !is_separated(index, i)))
+            ++reachable;
     }
-    return static_cast<double>(heard) / static_cast<double>(nodes_.size());
+    return static_cast<double>(reachable) / static_cast<double>(nodes_.size());
 }
 
-void quota_world::send(
+void quota_cluster::send(
     std::size_t from, std::string const& to, std::string bytes)
 {
-    auto const at = static_cast<std::size_t>(std::stoul(to.substr(1)));
+    auto const index = static_cast<std::size_t>(std::stoul(to.substr(1)));
     ++messages_;
-    if (separated(from, at) || random_() < options_.loss)
+    if (is_separated(from, index) || random_() < options_.loss)
         return;
-    auto const way =
-        shortest_way +
-        duration(static_cast<std::int64_t>(random_() * way_spread_us));
-    at_time(
-        clock_.now() + way,
-        [this, from, at, life = nodes_[at].life, bytes = std::move(bytes)]
+    auto const delay =
+        min_network_delay + duration(static_cast<std::int64_t>(
+                                random_() * network_delay_spread_us));
+    schedule_at(
+        clock_.now() + delay,
+        [this, from, index, generation = nodes_[index].generation,
+         bytes = std::move(bytes)]
         {
-            for_node(
-                at, life,
-                [this, from, at, bytes]
+            run_on_node(
+                index, generation,
+                [this, from, index, bytes]
                 {
-                    nodes_[at].quotas->handle(
-                        bytes, [this, from, at](std::string reply)
-                        { send(at, nodes_[from].name, std::move(reply)); });
+                    nodes_[index].quotas->handle(
+                        bytes, [this, from, index](std::string reply)
+                        { send(index, nodes_[from].name, std::move(reply)); });
                 });
         });
 }
 
-void quota_world::add_load(load one)
+void quota_cluster::add_load(load spec)
 {
-    auto of = std::make_unique<traffic>();
-    of->one = std::move(one);
-    of->central_tokens = std::max(of->one.limit.burst, 1.0);
-    of->central_at = clock_.now();
-    auto& placed = *(loads_[of->one.owner.str()] = std::move(of));
-    schedule_request(placed);
+    auto entry = std::make_unique<traffic>();
+    entry->spec = std::move(spec);
+    entry->reference_tokens = std::max(entry->spec.limit.burst, 1.0);
+    entry->reference_refilled_at = clock_.now();
+    auto& added = *(loads_[entry->spec.owner.str()] = std::move(entry));
+    schedule_request(added);
 }
 
-void quota_world::set_limit(workspace_name const& owner, rate_limit limit)
+void quota_cluster::set_limit(workspace_name const& owner, rate_limit limit)
 {
-    auto& of = *loads_.at(owner.str());
-    of.one.limit = limit;
-    of.limit_since = clock_.now();
-    // Windows are judged by one limit: they begin anew.
-    of.granted.clear();
+    auto& entry = *loads_.at(owner.str());
+    entry.spec.limit = limit;
+    entry.limit_since = clock_.now();
+    // A window is checked against a single limit, so counting restarts.
+    entry.granted.clear();
 }
 
-void quota_world::schedule_request(traffic& of)
+void quota_cluster::schedule_request(traffic& entry)
 {
-    auto const pause = -std::log(1 - random_()) / of.one.demand;
-    at_time(
+    auto const pause = -std::log(1 - random_()) / entry.spec.demand;
+    schedule_at(
         clock_.now() + of_seconds(pause),
-        [this, &of]
+        [this, &entry]
         {
-            request(of);
-            schedule_request(of);
+            request(entry);
+            schedule_request(entry);
         });
 }
 
-void quota_world::request(traffic& of)
+void quota_cluster::request(traffic& entry)
 {
-    auto const at = static_cast<std::size_t>(
+    auto const index = static_cast<std::size_t>(
         random_() * static_cast<double>(nodes_.size()));
-    if (!serves(at))
+    if (!serves(index))
         return;
-    count_centrally(of);
-    nodes_[at].quotas->take(
-        of.one.owner,
-        [this, &of](quota_answer const& answer, std::string const&)
+    count_reference_grant(entry);
+    nodes_[index].quotas->take(
+        entry.spec.owner,
+        [this, &entry](quota_answer const& answer, std::string const&)
         {
             if (answer.decision == quota_decision::granted)
-                note_granted(of);
+                record_grant(entry);
             else if (answer.decision == quota_decision::over_limit)
-                ++of.seen.over_limit;
+                ++entry.result.over_limit;
             else
-                ++of.seen.undecided;
+                ++entry.result.undecided;
         });
 }
 
-void quota_world::note_granted(traffic& of)
+void quota_cluster::record_grant(traffic& entry)
 {
-    ++of.seen.granted;
+    ++entry.result.granted;
     auto const now = clock_.now();
-    auto const& limit = of.one.limit;
+    auto const& limit = entry.spec.limit;
     auto const& bounds = options_.bounds;
-    of.granted.push_back(now);
-    while (now - of.granted.front() >= bounds.window)
-        of.granted.pop_front();
+    entry.granted.push_back(now);
+    while (now - entry.granted.front() >= bounds.window)
+        entry.granted.pop_front();
     auto const seconds = std::chrono::duration<double>(bounds.window).count();
-    of.seen.allowed_in_window =
+    entry.result.allowed_in_window =
         (limit.per_second * seconds + limit.burst) * (1 + bounds.over) +
         bounds.slack;
-    of.seen.most_in_window =
-        std::max(of.seen.most_in_window, of.granted.size());
+    entry.result.max_in_window =
+        std::max(entry.result.max_in_window, entry.granted.size());
 }
 
-void quota_world::count_centrally(traffic& of)
+void quota_cluster::count_reference_grant(traffic& entry)
 {
     auto const now = clock_.now();
-    auto const passed =
-        std::chrono::duration<double>(now - of.central_at).count();
-    auto const& limit = of.one.limit;
-    of.central_tokens = std::min(
-        of.central_tokens + passed * limit.per_second,
+    auto const elapsed =
+        std::chrono::duration<double>(now - entry.reference_refilled_at)
+            .count();
+    auto const& limit = entry.spec.limit;
+    entry.reference_tokens = std::min(
+        entry.reference_tokens + elapsed * limit.per_second,
         std::max(limit.burst, 1.0));
-    of.central_at = now;
-    if (of.central_tokens < 1)
+    entry.reference_refilled_at = now;
+    if (entry.reference_tokens < 1)
         return;
-    of.central_tokens -= 1;
-    ++of.seen.granted_centrally;
+    entry.reference_tokens -= 1;
+    ++entry.result.granted_by_single_bucket;
 }
 
-void quota_world::tick()
+void quota_cluster::tick()
 {
-    for (auto& one : nodes_)
+    for (auto& state : nodes_)
     {
-        if (one.alive && !one.frozen)
-            one.quotas->tick();
+        if (state.alive && !state.frozen)
+            state.quotas->tick();
     }
-    at_time(clock_.now() + tick_every, [this] { tick(); });
+    schedule_at(clock_.now() + tick_interval, [this] { tick(); });
 }
 
-void quota_world::play(duration span)
+void quota_cluster::run_for(duration span)
 {
     auto const end = clock_.now() + span;
     while (!events_.empty() && events_.begin()->first <= end)
     {
         auto const first = events_.begin();
-        auto const what = std::move(first->second);
+        auto const action = std::move(first->second);
         if (first->first > clock_.now())
             clock_.advance(first->first - clock_.now());
         events_.erase(first);
-        what();
+        action();
     }
     clock_.advance(end - clock_.now());
 }
 
-std::size_t quota_world::coordinator_of(workspace_name const& owner) const
+std::size_t quota_cluster::coordinator_of(workspace_name const& owner) const
 {
     for (std::size_t i = 0; i < nodes_.size(); ++i)
     {
-        if (nodes_[i].quotas->is_first_for(owner))
+        if (nodes_[i].quotas->is_preferred_coordinator_of(owner))
             return i;
     }
     return 0;
 }
 
-void quota_world::kill(std::size_t at)
+void quota_cluster::kill(std::size_t index)
 {
-    nodes_[at].alive = false;
-    nodes_[at].waiting.clear();
+    nodes_[index].alive = false;
+    nodes_[index].deferred.clear();
 }
 
-void quota_world::start(std::size_t at)
+void quota_cluster::start(std::size_t index)
 {
-    nodes_[at].alive = true;
-    nodes_[at].frozen = false;
-    make(at);
+    nodes_[index].alive = true;
+    nodes_[index].frozen = false;
+    create_node(index);
 }
 
-void quota_world::freeze(std::size_t at)
+void quota_cluster::freeze(std::size_t index)
 {
-    nodes_[at].frozen = true;
+    nodes_[index].frozen = true;
 }
 
-void quota_world::wake(std::size_t at)
+void quota_cluster::resume(std::size_t index)
 {
-    nodes_[at].frozen = false;
-    for (auto const& what : std::exchange(nodes_[at].waiting, {}))
-        what();
+    nodes_[index].frozen = false;
+    for (auto const& action : std::exchange(nodes_[index].deferred, {}))
+        action();
 }
 
-void quota_world::cut(std::set<std::size_t> const& some)
+void quota_cluster::partition(std::set<std::size_t> const& separated)
 {
-    cut_ = some;
-    cut_at_ = clock_.now();
+    partitioned_ = separated;
+    partitioned_at_ = clock_.now();
 }
 
-void quota_world::heal()
+void quota_cluster::heal()
 {
-    cut_.clear();
+    partitioned_.clear();
 }
 
-quota_world::outcome const&
-quota_world::result(workspace_name const& owner) const
+quota_cluster::outcome const&
+quota_cluster::result(workspace_name const& owner) const
 {
-    return loads_.at(owner.str())->seen;
+    return loads_.at(owner.str())->result;
 }
 
 } // namespace testing
--- a/test/quota_world.hpp
+++ b/test/quota_world.hpp
@@ -2,10 +2,11 @@
 #define WALNUTMILL_TEST_QUOTA_WORLD_HPP
 
 /// \file
-/// Many nodes that keep workspaces' limits together, on a clock that the test
-/// advances: a network with delay, loss and cuts, nodes that are killed and
-/// frozen, and callers. Counts what was granted in each window, and what a
-/// single bucket with all requests would have granted.
+/// Simulated cluster whose nodes enforce workspace rate limits together, on a
+/// clock that the test advances. Simulates callers, network delay, message loss
+/// and partitions, and nodes that are killed or frozen. Counts the requests
+/// granted in each window and those that a single token bucket would have
+/// granted.
 
 #include "entry/quota_exchange.hpp"
 
@@ -26,28 +27,29 @@
 namespace testing
 {
 
-struct quota_world_options
+struct quota_cluster_options
 {
     std::size_t nodes = 85;
-    /// Of them with half a core; the others have 0.12.
-    std::size_t strong = 19;
+    /// Number of nodes with 0.5 cores; the others have 0.12.
+    std::size_t strong_nodes = 19;
     std::uint64_t seed = 1;
+    /// Fraction of messages that are lost.
     double loss = 0.002;
     quota_bounds bounds{std::chrono::seconds(5), 0.1, 20};
-    /// Until a node knows that others are out of its reach.
-    duration notices_after = std::chrono::milliseconds(600);
-    /// Age of the configuration up to which a node serves keyed callers.
-    duration trusted = std::chrono::milliseconds(4'750);
+    /// Time until a node detects a partition.
+    duration detection_delay = std::chrono::milliseconds(600);
+    /// Age of its configuration up to which a node serves callers with keys.
+    duration max_configuration_age = std::chrono::milliseconds(4'750);
 };
 
-class quota_world
+class quota_cluster
 {
 public:
     struct load
     {
         workspace_name owner;
         rate_limit limit;
-        /// Requests a second.
+        /// Requests per second.
         double demand = 0;
     };
     struct outcome
@@ -55,34 +57,34 @@
         std::size_t granted = 0;
         std::size_t over_limit = 0;
         std::size_t undecided = 0;
-        /// Requests that a single bucket would have granted.
-        std::size_t granted_centrally = 0;
-        /// Most granted in a window, and what may be.
-        std::size_t most_in_window = 0;
+        /// Requests that a single token bucket would have granted.
+        std::size_t granted_by_single_bucket = 0;
+        /// Largest number granted in a window, and the number allowed.
+        std::size_t max_in_window = 0;
         double allowed_in_window = 0;
     };
 
-    explicit quota_world(quota_world_options options);
-    quota_world(quota_world const&) = delete;
-    quota_world& operator=(quota_world const&) = delete;
+    explicit quota_cluster(quota_cluster_options options);
+    quota_cluster(quota_cluster const&) = delete;
+    quota_cluster& operator=(quota_cluster const&) = delete;
 
-    void add_load(load one);
+    void add_load(load spec);
     void set_limit(workspace_name const& owner, rate_limit limit);
-    /// Plays callers and messages for a while.
-    void play(duration span);
+    /// Advances the simulation by a time span.
+    void run_for(duration span);
 
     std::size_t nodes() const { return nodes_.size(); }
     std::size_t messages() const { return messages_; }
-    /// \return the index of the node that coordinates the workspace
+    /// \return the index of the workspace's preferred coordinator
     std::size_t coordinator_of(workspace_name const& owner) const;
-    void kill(std::size_t at);
-    /// Starts a killed node anew, with an empty memory.
-    void start(std::size_t at);
-    void freeze(std::size_t at);
-    void wake(std::size_t at);
-    /// Cuts these nodes off from all others and the store, not from each other
-    /// nor from callers.
-    void cut(std::set<std::size_t> const& some);
+    void kill(std::size_t index);
+    /// Restarts a killed node with empty memory.
+    void start(std::size_t index);
+    void freeze(std::size_t index);
+    void resume(std::size_t index);
+    /// Separates these nodes from all others and the store, but not from each
+    /// other or from callers.
+    void partition(std::set<std::size_t> const& separated);
     void heal();
 
     outcome const& result(workspace_name const& owner) const;
@@ -95,44 +97,46 @@
         std::unique_ptr<quota_exchange> quotas;
         bool alive = true;
         bool frozen = false;
-        std::uint64_t life = 0;
-        /// What waits for a frozen node.
-        std::vector<std::function<void()>> waiting;
+        std::uint64_t generation = 0;
+        /// Actions that run when a frozen node resumes.
+        std::vector<std::function<void()>> deferred;
     };
     struct traffic
     {
-        load one;
-        outcome seen;
+        load spec;
+        outcome result;
         std::deque<time_point> granted;
-        double central_tokens = 0;
-        time_point central_at{};
-        /// The limit has been the same since.
+        double reference_tokens = 0;
+        time_point reference_refilled_at{};
+        /// Time of the last change of the limit.
         time_point limit_since{};
     };
 
-    void make(std::size_t at);
-    void at_time(time_point when, std::function<void()> what);
-    /// Runs for one life of a node, later if it is frozen.
-    void for_node(
-        std::size_t at, std::uint64_t life, std::function<void()> const& what);
+    void create_node(std::size_t index);
+    void schedule_at(time_point when, std::function<void()> action);
+    /// Runs the action unless the node was restarted or killed; defers it while
+    /// the node is frozen.
+    void run_on_node(
+        std::size_t index, std::uint64_t generation,
+        std::function<void()> const& action);
     void send(std::size_t from, std::string const& to, std::string bytes);
-    bool separated(std::size_t a, std::size_t b) const;
-    bool serves(std::size_t at) const;
-    double reach_of(std::size_t at) const;
-    void schedule_request(traffic& of);
-    void request(traffic& of);
-    void note_granted(traffic& of);
-    void count_centrally(traffic& of);
+    bool is_separated(std::size_t a, std::size_t b) const;
+    bool serves(std::size_t index) const;
+    double reachable_share_of(std::size_t index) const;
+    void schedule_request(traffic& entry);
+    void request(traffic& entry);
+    void record_grant(traffic& entry);
+    void count_reference_grant(traffic& entry);
     void tick();
 
-    quota_world_options options_;
+    quota_cluster_options options_;
     manual_clock clock_;
     random_fn random_;
     std::vector<node> nodes_;
     std::map<std::string, std::unique_ptr<traffic>> loads_;
     std::multimap<time_point, std::function<void()>> events_;
-    std::set<std::size_t> cut_;
-    time_point cut_at_{};
+    std::set<std::size_t> partitioned_;
+    time_point partitioned_at_{};
     std::size_t messages_ = 0;
 };
 
