--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The part of a call's life that it spends with engines: attempts, their
-/// ends, and what reaches the caller of them.
+/// Attempts of a call at engines: choosing an engine, exchanging the request
+/// and response, retrying, and forwarding the answer to the caller.
 
 #include "entry/call_flow.hpp"
 
@@ -22,14 +22,14 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/// With less left than this an engine could not produce anything.
-constexpr milliseconds least_useful{25};
-/// Bytes that a caller who does not read may leave unsent.
-constexpr std::size_t most_unsent = 1'048'576;
-/// Bytes of one answer that is not a stream.
-constexpr std::size_t most_body = 8'388'608;
+/// With less time left than this an engine can't produce any output.
+constexpr milliseconds min_useful_time{25};
+/// Limit of buffered output for a caller that does not read.
+constexpr std::size_t max_unsent_bytes = 1'048'576;
+/// Limit of one answer that is not streamed; bytes beyond it are dropped.
+constexpr std::size_t max_body_bytes = 8'388'608;
 
-constexpr int status_ok_end = 300;
+constexpr int status_success_end = 300;
 constexpr int status_misdirected = 421;
 
 std::string chunk_of(std::string_view bytes)
@@ -47,14 +47,17 @@
 
 std::uint32_t call_flow::connection_limit() const
 {
-    // Four fifths of what engines take, shared among the nodes: the rest is
-    // for nodes that just came or are counted wrongly. One node in three may
-    // carry twice its share, as callers are spread unevenly.
-    constexpr std::uint32_t least = 4;
-    constexpr std::uint32_t uneven = 2;
-    auto const part =
-        service_->max_connections * 4 / 5 * uneven / std::max(node_.nodes, 1U);
-    return std::clamp(part, least, std::max(service_->max_connections, least));
+    // The nodes share four fifths of the connections that an engine accepts.
+    // The rest is a reserve for nodes that have just joined or are miscounted.
+    // Callers are spread unevenly, so one node in three may need twice its
+    // share.
+    constexpr std::uint32_t min_connections = 4;
+    constexpr std::uint32_t imbalance_factor = 2;
+    auto const share = service_->max_connections * 4 / 5 * imbalance_factor /
+                       std::max(node_.nodes, 1U);
+    return std::clamp(
+        share, min_connections,
+        std::max(service_->max_connections, min_connections));
 }
 
 std::optional<std::uint32_t> call_flow::rank() const
@@ -68,9 +71,9 @@
 {
     if (done_)
         return;
-    if (time_left() < least_useful)
+    if (time_left() < min_useful_time)
     {
-        time_is_up();
+        on_deadline();
         return;
     }
     if (!service_->model || !node_.before_choice)
@@ -81,7 +84,7 @@
     node_.before_choice([self = shared_from_this()] { self->choose_engine(); });
 }
 
-void call_flow::tell_calls() const
+void call_flow::notify_calls_changed() const
 {
     if (service_->model && node_.on_calls_changed)
         node_.on_calls_changed();
@@ -91,97 +94,101 @@
 {
     if (done_)
         return;
-    auto const at = node_.board.choose(need_);
-    if (!at || sends_ >= most_sends)
+    auto const chosen = node_.board.choose(need_);
+    if (!chosen || sends_ >= most_sends)
     {
-        if (ran_at_.empty())
+        if (possibly_run_at_.empty())
             refuse(
-                at ? "all engines asked refused" : "no engine to ask",
+                chosen ? "all engines asked refused" : "no engine to ask",
                 come_back_soon);
         else
-            break_off("no engine left to go on at");
+            abort_call("no engine left to continue the call");
         return;
     }
-    auto const one = std::make_shared<attempt>();
-    one->at = *at;
-    one->link = node_.links.take(at->ref(), at->address, connection_limit());
-    if (!one->link)
+    auto const attempt = std::make_shared<engine_attempt>();
+    attempt->at = *chosen;
+    attempt->link =
+        node_.links.take(chosen->ref(), chosen->address, connection_limit());
+    if (!attempt->link)
     {
-        need_.avoid.push_back(at->engine);
+        need_.avoid.push_back(chosen->engine);
         try_engine();
         return;
     }
     if (sends_ == 0)
         node_.repeats.call_sent();
     ++sends_;
-    current_ = one;
-    story_["engine"] = at->engine.str();
-    story_["engine_load"] = at->load;
-    story_["engine_load_age_ms"] = at->load_age.count();
-    story_["engine_cached"] = at->cached_tokens;
-    one->sent_at = node_.clock();
-    one->heard_at = one->sent_at;
-    one->patience = stall_patience(
-        at->first_bytes, service_->model.has_value(), stalls_, node_.stalls);
-    node_.board.sent(at->ref(), need_);
-    tell_calls();
-    exchange(one);
-    watch_for_stall(one);
+    current_ = attempt;
+    log_fields_["engine"] = chosen->engine.str();
+    log_fields_["engine_load"] = chosen->load;
+    log_fields_["engine_load_age_ms"] = chosen->load_age.count();
+    log_fields_["engine_cached"] = chosen->cached_tokens;
+    attempt->sent_at = node_.clock();
+    attempt->heard_at = attempt->sent_at;
+    attempt->patience = stall_patience(
+        chosen->first_bytes, service_->model.has_value(), stalls_,
+        node_.stalls);
+    node_.board.sent(chosen->ref(), need_);
+    notify_calls_changed();
+    exchange(attempt);
+    watch_for_stall(attempt);
 }
 
-void call_flow::exchange(attempt_ptr const& one)
+void call_flow::exchange(attempt_ptr const& attempt)
 {
     platform::send_fields send;
-    send.engine = one->at.engine;
+    send.engine = attempt->at.engine;
     send.deadline_left = std::chrono::duration_cast<milliseconds>(time_left());
     send.rank = rank();
     send.resume_after = last_event_ ? last_event_ : call_.resume_after;
     auto bytes = platform::encode_request(
         call_, send,
         chain_.text.empty() ? request_.body() : chain_.text + request_.body());
-    http_link::handlers to;
+    http_link::handlers callbacks;
     auto const self = shared_from_this();
-    to.on_head = [self, one](platform::response_head const& head)
-    { self->on_head(one, head); };
-    to.on_body = [self, one](std::string_view bytes)
-    { self->on_body(one, bytes); };
-    to.on_end = [self, one](link_end how) { self->on_end(one, how); };
-    one->link->exchange(std::move(bytes), call_.id, std::move(to));
+    callbacks.on_head = [self, attempt](platform::response_head const& head)
+    { self->on_head(attempt, head); };
+    callbacks.on_body = [self, attempt](std::string_view bytes)
+    { self->on_body(attempt, bytes); };
+    callbacks.on_end = [self, attempt](link_end how)
+    { self->on_end(attempt, how); };
+    attempt->link->exchange(std::move(bytes), call_.id, std::move(callbacks));
 }
 
 void call_flow::on_head(
-    attempt_ptr const& one, platform::response_head const& head)
+    attempt_ptr const& attempt, platform::response_head const& head)
 {
-    one->heard_at = node_.clock();
-    one->answer = platform::decode_answer(head);
-    if (one->answer.load)
-        node_.board.told_load(one->at.ref(), *one->answer.load);
-    if (one->answer.idle_timeout)
-        one->link->idle_timeout = *one->answer.idle_timeout;
-    one->runs = !one->answer.not_run;
+    attempt->heard_at = node_.clock();
+    attempt->answer = platform::decode_answer(head);
+    if (attempt->answer.load)
+        node_.board.told_load(attempt->at.ref(), *attempt->answer.load);
+    if (attempt->answer.idle_timeout)
+        attempt->link->idle_timeout = *attempt->answer.idle_timeout;
+    attempt->accepted_by_engine = !attempt->answer.not_run;
 }
 
-void call_flow::on_body(attempt_ptr const& one, std::string_view bytes)
+void call_flow::on_body(attempt_ptr const& attempt, std::string_view bytes)
 {
-    one->heard_at = node_.clock();
-    auto const streams = route_->streams && one->runs &&
-                         one->answer.status < status_ok_end &&
-                         one->answer.signed_by_engine;
+    attempt->heard_at = node_.clock();
+    auto const streams = route_->streams && attempt->accepted_by_engine &&
+                         attempt->answer.status < status_success_end &&
+                         attempt->answer.signed_by_engine;
     if (!streams)
     {
-        if (one->body.size() + bytes.size() <= most_body)
-            one->body.append(bytes);
+        if (attempt->body.size() + bytes.size() <= max_body_bytes)
+            attempt->body.append(bytes);
         return;
     }
-    for (auto const& event : one->events.feed(bytes))
+    for (auto const& event : attempt->events.feed(bytes))
     {
-        if (done_ || one->ended)
+        if (done_ || attempt->ended)
             return;
-        forward_event(one, event);
+        forward_event(attempt, event);
     }
 }
 
-void call_flow::forward_event(attempt_ptr const& one, stream_event const& event)
+void call_flow::forward_event(
+    attempt_ptr const& attempt, stream_event const& event)
 {
     if (event.id && last_event_)
     {
@@ -189,162 +196,171 @@
             return;
         if (*event.id != *last_event_ + 1)
         {
-            // A piece is missing: what follows must not be joined to it.
-            end_attempt(one, engine_outcome::failed);
-            one->link->close();
-            retry_or_fail(one, false);
+            // An event is missing, so later events must not be forwarded.
+            end_attempt(attempt, engine_outcome::failed);
+            attempt->link->close();
+            retry_or_fail(attempt, false);
             return;
         }
     }
     if (!head_written_)
     {
         head_written_ = true;
-        story_["first_ms"] = ms_count(node_.clock() - arrived_);
+        log_fields_["first_ms"] = ms_count(node_.clock() - arrived_);
         node_.counters.observe(
             "walnutmill_first_event_seconds",
             std::chrono::duration<double>(node_.clock() - arrived_).count());
         platform::answer_framing framing;
         framing.close = node_.stopping;
-        link_->write(platform::encode_answer_head(one->answer, framing));
+        link_->write(platform::encode_answer_head(attempt->answer, framing));
     }
     if (event.id)
         last_event_ = event.id;
-    handed_out_ += tokens_per_event_;
+    delivered_tokens_ += tokens_per_event_;
     if (route_->keeps_turns)
         output_.append(event.data).append("\n");
     link_->write(chunk_of(event.text));
-    if (link_->unsent() > most_unsent)
-        break_off("the caller does not read");
+    if (link_->unsent() > max_unsent_bytes)
+        abort_call("the caller does not read");
 }
 
-void call_flow::on_end(attempt_ptr const& one, link_end how)
+void call_flow::on_end(attempt_ptr const& attempt, link_end how)
 {
-    if (one->ended)
+    if (attempt->ended)
         return;
-    auto const took = node_.clock() - one->sent_at;
-    story_["engine_ms"] = ms_count(took);
+    auto const took = node_.clock() - attempt->sent_at;
+    log_fields_["engine_ms"] = ms_count(took);
     if (how == link_end::not_connected)
     {
-        end_attempt(one, engine_outcome::unreachable);
-        note_attempt(one, "unreachable");
-        // It has ended or is cut off, so a try at it counts no more.
+        end_attempt(attempt, engine_outcome::unreachable);
+        note_attempt(attempt, "unreachable");
+        // The engine has ended or is unreachable, so an earlier attempt at it
+        // no longer counts.
         need_.only = target_name();
-        ran_at_.erase(
-            std::remove(ran_at_.begin(), ran_at_.end(), one->at.ref()),
-            ran_at_.end());
-        need_.avoid.push_back(one->at.engine);
+        possibly_run_at_.erase(
+            std::remove(
+                possibly_run_at_.begin(), possibly_run_at_.end(),
+                attempt->at.ref()),
+            possibly_run_at_.end());
+        need_.avoid.push_back(attempt->at.engine);
         try_engine();
         return;
     }
     if (how == link_end::broken)
     {
-        attempt_broke(one);
+        attempt_interrupted(attempt);
         return;
     }
-    if (one->answer.not_run)
-        refused_by_engine(one);
+    if (attempt->answer.not_run)
+        refused_by_engine(attempt);
     else
-        attempt_completed(one);
+        attempt_completed(attempt);
 }
 
-void call_flow::end_attempt(attempt_ptr const& one, engine_outcome outcome)
+void call_flow::end_attempt(attempt_ptr const& attempt, engine_outcome outcome)
 {
-    if (one->ended)
+    if (attempt->ended)
         return;
-    one->ended = true;
-    // The engine's pace is judged by what it generated, not by the guess.
+    attempt->ended = true;
+    // The engine's speed is computed from the tokens that it generated, not
+    // from the estimate.
     if (outcome == engine_outcome::answered && service_->model)
     {
-        need_.output_tokens =
-            static_cast<std::uint32_t>(std::max<std::uint64_t>(handed_out_, 1));
+        need_.output_tokens = static_cast<std::uint32_t>(
+            std::max<std::uint64_t>(delivered_tokens_, 1));
     }
     node_.board.ended(
-        one->at.ref(), need_, outcome, node_.clock() - one->sent_at);
-    tell_calls();
-    node_.links.give_back(one->at.ref(), one->link);
+        attempt->at.ref(), need_, outcome, node_.clock() - attempt->sent_at);
+    notify_calls_changed();
+    node_.links.give_back(attempt->at.ref(), attempt->link);
 }
 
-void call_flow::refused_by_engine(attempt_ptr const& one)
+void call_flow::refused_by_engine(attempt_ptr const& attempt)
 {
-    auto const elsewhere = one->answer.status == status_misdirected;
+    auto const other_incarnation = attempt->answer.status == status_misdirected;
     end_attempt(
-        one, elsewhere ? engine_outcome::unreachable : engine_outcome::full);
-    note_attempt(one, elsewhere ? "another incarnation" : "full");
-    need_.avoid.push_back(one->at.engine);
+        attempt,
+        other_incarnation ? engine_outcome::unreachable : engine_outcome::full);
+    note_attempt(attempt, other_incarnation ? "another incarnation" : "full");
+    need_.avoid.push_back(attempt->at.engine);
     try_engine();
 }
 
-void call_flow::attempt_broke(attempt_ptr const& one)
+void call_flow::attempt_interrupted(attempt_ptr const& attempt)
 {
-    auto const silent = one->answer.status == 0;
+    auto const no_answer = attempt->answer.status == 0;
     end_attempt(
-        one, silent ? engine_outcome::silent_end : engine_outcome::failed);
-    note_attempt(one, silent ? "ended without a word" : "broke off");
-    retry_or_fail(one, false);
+        attempt,
+        no_answer ? engine_outcome::silent_end : engine_outcome::failed);
+    note_attempt(attempt, no_answer ? "ended without a word" : "broke off");
+    retry_or_fail(attempt, false);
 }
 
-void call_flow::attempt_completed(attempt_ptr const& one)
+void call_flow::attempt_completed(attempt_ptr const& attempt)
 {
-    auto const status = one->answer.status;
-    if (!one->answer.signed_by_engine)
+    auto const status = attempt->answer.status;
+    if (!attempt->answer.signed_by_engine)
     {
-        attempt_broke(one);
+        attempt_interrupted(attempt);
         return;
     }
     auto const failed = status >= status_server_error;
-    if (!failed && route_->streams && status < status_ok_end)
+    if (!failed && route_->streams && status < status_success_end)
     {
-        if (one->events.partial())
+        if (attempt->events.partial())
         {
-            attempt_broke(one);
+            attempt_interrupted(attempt);
             return;
         }
-        end_attempt(one, engine_outcome::answered);
-        note_attempt(one, "answered");
+        end_attempt(attempt, engine_outcome::answered);
+        note_attempt(attempt, "answered");
         if (!head_written_)
-            deliver(one);
+            deliver(attempt);
         else
             stream_completed();
         return;
     }
     end_attempt(
-        one, failed ? engine_outcome::failed : engine_outcome::answered);
-    note_attempt(one, failed ? "failed" : "answered");
+        attempt, failed ? engine_outcome::failed : engine_outcome::answered);
+    note_attempt(attempt, failed ? "failed" : "answered");
     if (failed)
-        retry_or_fail(one, true);
+        retry_or_fail(attempt, true);
     else
-        deliver(one);
+        deliver(attempt);
 }
 
-bool call_flow::ran(engine_ref const& engine) const
+bool call_flow::may_have_run(engine_ref const& engine) const
 {
-    return std::find(ran_at_.begin(), ran_at_.end(), engine) != ran_at_.end();
+    return std::find(
+               possibly_run_at_.begin(), possibly_run_at_.end(), engine) !=
+           possibly_run_at_.end();
 }
 
-/// \param left the engine that the call ran at last
-bool call_flow::may_run_elsewhere(engine_ref const& left) const
+/// \param previous engine of the call's latest attempt
+bool call_flow::may_run_elsewhere(engine_ref const& previous) const
 {
-    // Engines that ended meanwhile don't count.
+    // Engines that have ended since don't count.
     auto alive = std::count_if(
-        ran_at_.begin(), ran_at_.end(),
-        [this](engine_ref const& one) { return node_.board.known(one); });
-    if (!ran(left))
+        possibly_run_at_.begin(), possibly_run_at_.end(),
+        [this](engine_ref const& engine) { return node_.board.known(engine); });
+    if (!may_have_run(previous))
         ++alive;
-    // An incarnation that is gone is none of the service's engines.
-    std::size_t const left_there = node_.board.known(left) ? 1 : 0;
+    // A past incarnation is not among the service's engines.
+    std::size_t const previous_count = node_.board.known(previous) ? 1 : 0;
     return static_cast<std::uint64_t>(alive) < route_->max_engines &&
-           node_.board.engines_of(need_.service) > left_there;
+           node_.board.engines_of(need_.service) > previous_count;
 }
 
-/// An engine may have run the call without bringing it to its end.
-/// \param complete_failure it answered that it failed, and said so whole
-void call_flow::retry_or_fail(attempt_ptr const& one, bool complete_failure)
+/// Handles an attempt after which the engine may have run the call without
+/// completing it.
+/// \param complete_failure the engine sent a complete error response
+void call_flow::retry_or_fail(attempt_ptr const& attempt, bool complete_failure)
 {
     if (done_)
         return;
-    auto const engine = one->at.ref();
-    if (!ran(engine))
-        ran_at_.push_back(engine);
+    auto const engine = attempt->at.ref();
+    if (!may_have_run(engine))
+        possibly_run_at_.push_back(engine);
     auto const repeatable =
         route_->repeats == repeatability::idempotent && sends_ < most_sends;
     if (repeatable && may_run_elsewhere(engine))
@@ -356,10 +372,11 @@
     }
     if (complete_failure && !head_written_)
     {
-        deliver(one);
+        deliver(attempt);
         return;
     }
-    // Another try at the same engine counts as the same engine.
+    // A retry at the same engine doesn't count towards the route's limit of
+    // engines.
     if (repeatable && !complete_failure && node_.board.known(engine))
     {
         need_.avoid.clear();
@@ -367,20 +384,20 @@
         try_engine();
         return;
     }
-    break_off("the engine broke off");
+    abort_call("the engine broke off");
 }
 
-void call_flow::deliver(attempt_ptr const& one)
+void call_flow::deliver(attempt_ptr const& attempt)
 {
     if (done_)
         return;
     platform::answer_framing framing;
-    framing.length = one->body.size();
+    framing.length = attempt->body.size();
     framing.close = node_.stopping;
     link_->write(
-        platform::encode_answer_head(one->answer, framing) + one->body);
-    story_["status"] = one->answer.status;
-    finish("answered", one->answer.status >= status_server_error);
+        platform::encode_answer_head(attempt->answer, framing) + attempt->body);
+    log_fields_["status"] = attempt->answer.status;
+    finish("answered", attempt->answer.status >= status_server_error);
 }
 
 void call_flow::stream_completed()
@@ -391,10 +408,10 @@
         finish("answered", false);
         return;
     }
-    // The turn counts for the caller once its end has come, so it has to be
-    // durable before that.
+    // The caller treats the turn as complete once it receives the last chunk,
+    // so the turn must be durable before that.
     kept_turn turn;
-    turn.id = kept_id_;
+    turn.id = stored_turn_id_;
     turn.chain = chain_.ids;
     turn.input = request_.body();
     turn.output = std::move(output_);
@@ -405,10 +422,11 @@
         {
             if (self->done_)
                 return;
-            self->story_["keep_ms"] = ms_count(self->node_.clock() - began);
+            self->log_fields_["keep_ms"] =
+                ms_count(self->node_.clock() - began);
             if (!durable)
             {
-                self->break_off("the turn could not be kept");
+                self->abort_call("the turn could not be stored");
                 return;
             }
             self->link_->write(last_chunk());
@@ -417,7 +435,8 @@
         call_.program.program.str());
 }
 
-void call_flow::note_attempt(attempt_ptr const& one, std::string_view outcome)
+void call_flow::note_attempt(
+    attempt_ptr const& attempt, std::string_view outcome)
 {
     if (outcome == "answered")
         return;
@@ -427,14 +446,14 @@
     node_.log.write(
         line_weight::important, "call.attempt",
         {{"request", call_.id.str()},
-         {"engine", one->at.engine.str()},
-         {"started_at_ms", one->at.incarnation.started_at_ms},
-         {"address", one->at.address},
+         {"engine", attempt->at.engine.str()},
+         {"started_at_ms", attempt->at.incarnation.started_at_ms},
+         {"address", attempt->at.address},
          {"outcome", outcome},
-         {"status", one->answer.status},
-         {"load", one->at.load},
-         {"load_age_ms", one->at.load_age.count()},
-         {"ms", ms_count(node_.clock() - one->sent_at)}});
+         {"status", attempt->answer.status},
+         {"load", attempt->at.load},
+         {"load_age_ms", attempt->at.load_age.count()},
+         {"ms", ms_count(node_.clock() - attempt->sent_at)}});
 }
 
 } // namespace walnutmill
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -13,18 +13,19 @@
 
 using std::chrono::milliseconds;
 
-/// Where a caller states no deadline and the route no timeout.
+/// Upper bound for all calls, and the deadline where neither the caller nor
+/// the route sets one.
 constexpr milliseconds default_deadline{30'000};
-/// While the store is lost, or a node has started without it, nothing is gained
-/// by coming back soon: outages last seconds, and a tool call that used up its
-/// one or two repetitions ends its program. Callers wait a third of their time
-/// left at most, 1 s on the sites' routes, so three tries of one turn bridge
-/// some 4 s.
-constexpr milliseconds come_back_later{900};
-/// While the engines are full a call's length (0.3 to 0.5 s) changes what is
-/// free; bursts last some seconds, and a caller comes back a few times at
-/// most.
-constexpr milliseconds come_back_when_full{600};
+/// Retry delay while the store is unreachable, or the node has started without
+/// it. Outages last seconds, and a tool call that has used up its one or two
+/// retries ends its program, so an early retry is useless. Callers wait at most
+/// a third of their remaining time, 1 s on the deployed routes, so three tries
+/// of one turn span about 4 s.
+constexpr milliseconds retry_after_without_store{900};
+/// Retry delay while the engines are full. Slots become free after the duration
+/// of a call (0.3 to 0.5 s). Bursts last some seconds, and callers retry only a
+/// few times.
+constexpr milliseconds retry_after_when_full{600};
 
 constexpr int status_bad_request = 400;
 constexpr int status_budget = 402;
@@ -44,7 +45,7 @@
     entry_services& node, std::shared_ptr<caller_link> link,
     caller_link::request_type&& request)
     : node_(node), link_(std::move(link)), request_(std::move(request)),
-      deadline_(node.io), stall_timer_(node.io), arrived_(node.clock())
+      deadline_timer_(node.io), stall_timer_(node.io), arrived_(node.clock())
 {
     ++node_.calls_under_way;
 }
@@ -56,7 +57,7 @@
 
 duration call_flow::time_left() const
 {
-    return give_up_at_ - node_.clock();
+    return deadline_at_ - node_.clock();
 }
 
 void call_flow::start()
@@ -66,31 +67,33 @@
     if (!decoded)
     {
         auto const& first = problems.items().front();
-        answer_own(status_bad_request, first.place + " " + first.message);
+        respond_locally(status_bad_request, first.place + " " + first.message);
         return;
     }
     call_ = std::move(*decoded);
-    kept_id_ = call_.id;
-    story_["request"] = call_.id.str();
+    stored_turn_id_ = call_.id;
+    log_fields_["request"] = call_.id.str();
     if (!call_.program.program.empty())
-        story_["program"] = call_.program.program.str();
+        log_fields_["program"] = call_.program.program.str();
     table_ = node_.table;
-    give_up_at_ = arrived_ + default_deadline;
+    deadline_at_ = arrived_ + default_deadline;
     if (!table_)
     {
-        refuse("no configuration is known yet", come_back_later);
+        refuse("no configuration is known yet", retry_after_without_store);
         return;
     }
     if (!node_.takes_calls)
     {
-        // Another node will take it: the connection ends with this answer.
+        // The connection closes with this answer, so that the caller's retry
+        // reaches another node.
         refuse("this node is about to stop", milliseconds(0));
         return;
     }
-    story_["configuration"] = table_->version;
+    log_fields_["configuration"] = table_->version;
     if (!route_call())
         return;
-    link_->on_gone = [self = shared_from_this()] { self->caller_left(); };
+    link_->on_gone = [self = shared_from_this()]
+    { self->on_caller_disconnected(); };
     arm_deadline();
     check_identity();
 }
@@ -102,10 +105,10 @@
     route_ = table_->match(host_without_port(call_.host), path);
     if (route_ == nullptr)
     {
-        answer_own(status_not_found, "no route for this host and path");
+        respond_locally(status_not_found, "no route for this host and path");
         return false;
     }
-    story_["route"] = route_->name;
+    log_fields_["route"] = route_->name;
     choose_service();
     if (service_ == nullptr)
     {
@@ -118,16 +121,16 @@
 void call_flow::choose_service()
 {
     std::uint32_t sum = 0;
-    for (auto const& one : route_->shares)
-        sum += one.weight;
+    for (auto const& share : route_->shares)
+        sum += share.weight;
     auto draw = node_.random() * static_cast<double>(sum);
     service_name chosen = route_->shares.back().service;
-    for (auto const& one : route_->shares)
+    for (auto const& share : route_->shares)
     {
-        draw -= static_cast<double>(one.weight);
+        draw -= static_cast<double>(share.weight);
         if (draw < 0)
         {
-            chosen = one.service;
+            chosen = share.service;
             break;
         }
     }
@@ -149,15 +152,15 @@
         wait = std::min(wait, route_->timeout);
     if (call_.deadline)
         wait = std::min(wait, *call_.deadline - deadline_margin);
-    give_up_at_ = arrived_ + wait;
-    auto& whole = node_.whole_times[route_->name];
-    whole = std::max(whole, duration(wait));
-    deadline_.expires_after(wait);
-    deadline_.async_wait(
+    deadline_at_ = arrived_ + wait;
+    auto& longest = node_.whole_times[route_->name];
+    longest = std::max(longest, duration(wait));
+    deadline_timer_.expires_after(wait);
+    deadline_timer_.async_wait(
         [self = shared_from_this()](boost::system::error_code const& error)
         {
             if (!error)
-                self->time_is_up();
+                self->on_deadline();
         });
 }
 
@@ -169,95 +172,97 @@
         load_history();
         return;
     }
-    // The last event may stand for fewer tokens but is counted whole.
+    // The last event may hold fewer tokens but is counted as a full one.
     auto const per_event = tokens_per_event_;
-    most_tokens_ =
+    max_tokens_ =
         (std::max<std::uint64_t>(call_.max_output_tokens, 1) + per_event - 1) /
         per_event * per_event;
-    story_["budget_tokens"] = *program.token_budget;
-    story_["prompt_parts"] = call_.prompt.size();
+    log_fields_["budget_tokens"] = *program.token_budget;
+    log_fields_["prompt_parts"] = call_.prompt.size();
     if (program.finish_in)
-        story_["finish_in_ms"] = program.finish_in->count();
-    story_["most_tokens"] = most_tokens_;
+        log_fields_["finish_in_ms"] = program.finish_in->count();
+    log_fields_["most_tokens"] = max_tokens_;
     auto const pressure = node_.board.pressure(need_.service);
     if (pressure)
-        story_["pressure"] = *pressure;
-    if (route_->keeps_turns && should_come_back(in_outage()))
+        log_fields_["pressure"] = *pressure;
+    if (route_->keeps_turns && should_come_back(current_outage()))
     {
         refuse_without_store("the store that turns are kept in is away");
         return;
     }
     auto const now = node_.clock();
     node_.ranks.seen(route_rank(), now);
-    auto const goes_before_others =
+    auto const less_urgent_in_flight =
         node_.ranks.has_less_urgent(route_rank(), now);
-    if (goes_before_others)
-        story_["goes_before_others"] = true;
-    auto const only_begun =
+    if (less_urgent_in_flight)
+        log_fields_["goes_before_others"] = true;
+    auto const only_started_programs =
         node_.random() <
-        refusal_chance(pressure, route_rank(), goes_before_others);
+        refusal_chance(pressure, route_rank(), less_urgent_in_flight);
     node_.budgets.admit(
-        {program.program, *program.token_budget, most_tokens_, only_begun,
+        {program.program, *program.token_budget, max_tokens_,
+         only_started_programs,
          route_->keeps_turns && !may_run_in_vain(pressure)},
         [self = shared_from_this()](
             admission_answer answer, budget_desk::grant const& grant)
         {
-            self->story_["budget"] = to_string(answer);
-            self->story_["budget_home"] = grant.home;
+            self->log_fields_["budget"] = to_string(answer);
+            self->log_fields_["budget_home"] = grant.home;
             if (answer == admission_answer::admitted)
-                self->granted(grant);
+                self->budget_granted(grant);
             if (self->done_)
-                self->settle();
+                self->settle_budget();
             else if (answer == admission_answer::admitted)
                 self->load_history();
             else if (answer == admission_answer::exhausted)
-                self->answer_own(status_budget, "the budget is spent");
+                self->respond_locally(status_budget, "the budget is spent");
             else
                 self->refuse_for_budget(answer);
         });
 }
 
-void call_flow::granted(budget_desk::grant const& one)
+void call_flow::budget_granted(budget_desk::grant const& grant)
 {
-    grant_ = one;
-    story_["known_lines"] = one.places.size();
-    for (auto const& place : one.places)
+    grant_ = grant;
+    log_fields_["known_lines"] = grant.places.size();
+    for (auto const& place : grant.places)
         node_.board.learn(place);
 }
 
-void call_flow::settle()
+void call_flow::settle_budget()
 {
     if (!grant_)
         return;
-    auto const left = prompt_left();
-    if (left)
-        node_.board.learn(*left);
-    node_.budgets.settle(*grant_, handed_out_, left);
+    auto const location = cached_prefix_location();
+    if (location)
+        node_.board.learn(*location);
+    node_.budgets.settle(*grant_, delivered_tokens_, location);
     grant_.reset();
 }
 
-/// \return where the turn left what was read and generated; empty where no
-/// engine has generated any of it.
-std::optional<prompt_place> call_flow::prompt_left() const
+/// \return the prefix cache location of the turn's prompt and output; empty if
+/// no engine has generated output in a completed attempt.
+std::optional<prompt_place> call_flow::cached_prefix_location() const
 {
-    auto const whole =
-        current_ && current_->ended && current_->runs && handed_out_ > 0;
-    if (!whole || call_.prompt.empty())
+    auto const completed = current_ && current_->ended &&
+                           current_->accepted_by_engine &&
+                           delivered_tokens_ > 0;
+    if (!completed || call_.prompt.empty())
         return std::nullopt;
     auto const& last = call_.prompt.back();
     return prompt_place{
-        last.id, last.tokens + static_cast<std::uint32_t>(handed_out_),
+        last.id, last.tokens + static_cast<std::uint32_t>(delivered_tokens_),
         current_->at.ref()};
 }
 
 void call_flow::refuse_for_budget(admission_answer answer)
 {
     if (answer == admission_answer::not_begun)
-        refuse("the engines are full", come_back_when_full);
+        refuse("the engines are full", retry_after_when_full);
     else if (answer == admission_answer::contended)
         refuse("the budget is taken by turns under way", come_back_spread);
     else
-        refuse_without_store("the store of budgets does not answer");
+        refuse_without_store("the budget store does not answer");
 }
 
 void call_flow::load_history()
@@ -267,28 +272,28 @@
         try_engine();
         return;
     }
-    auto const may_be_unscoped =
+    auto const try_unscoped_id =
         !unscoped_previous_.empty() && !is_scoped(unscoped_previous_.str());
-    load_turn(call_.program.previous_turn, may_be_unscoped);
+    load_turn(call_.program.previous_turn, try_unscoped_id);
 }
 
-/// \param may_be_unscoped the turn may have been kept before callers needed
-/// keys, under its bare id
-void call_flow::load_turn(request_id const& last, bool may_be_unscoped)
+/// \param try_unscoped_id whether to fall back to the unscoped ID, under which
+/// turns were stored while callers needed no keys
+void call_flow::load_turn(request_id const& previous, bool try_unscoped_id)
 {
     node_.history.load(
-        last,
+        previous,
         [self = shared_from_this(),
-         may_be_unscoped](history_answer answer, turn_chain chain)
+         try_unscoped_id](history_answer answer, turn_chain chain)
         {
             if (self->done_)
                 return;
-            if (answer == history_answer::unknown_turn && may_be_unscoped)
+            if (answer == history_answer::unknown_turn && try_unscoped_id)
             {
                 self->load_turn(self->unscoped_previous_, false);
                 return;
             }
-            self->story_["history"] =
+            self->log_fields_["history"] =
                 answer == history_answer::found
                     ? std::to_string(chain.ids.size()) + " turns"
                 : answer == history_answer::unknown_turn ? "unknown"
@@ -299,15 +304,15 @@
                 self->try_engine();
             }
             else if (answer == history_answer::unknown_turn)
-                self->answer_own(status_not_found, "no such turn is kept");
+                self->respond_locally(
+                    status_not_found, "no such turn is stored");
             else
-                self->refuse_without_store(
-                    "the store of turns does not answer");
+                self->refuse_without_store("the turn store does not answer");
         },
         call_.program.program.str());
 }
 
-void call_flow::time_is_up()
+void call_flow::on_deadline()
 {
     if (done_)
         return;
@@ -315,20 +320,20 @@
     if (sent)
     {
         end_attempt(current_, engine_outcome::abandoned);
-        // Stops the engine, too: nobody waits for its answer any more.
+        // Closing the connection also stops the engine's work on the call.
         current_->link->close();
     }
-    if (sent || head_written_ || !ran_at_.empty())
-        break_off("time is up");
+    if (sent || head_written_ || !possibly_run_at_.empty())
+        abort_call("time is up");
     else
-        refuse("time was up before an engine was free", come_back_soon);
+        refuse("deadline reached before an engine was free", come_back_soon);
 }
 
-void call_flow::caller_left()
+void call_flow::on_caller_disconnected()
 {
     if (done_)
         return;
-    left_ = true;
+    caller_disconnected_ = true;
     if (current_ && !current_->ended &&
         (route_->streams || route_->repeats == repeatability::idempotent))
     {
@@ -338,32 +343,33 @@
     finish("caller left", false);
 }
 
-outage_call call_flow::in_outage() const
+outage_call call_flow::current_outage() const
 {
-    outage_call to;
-    if (node_.store_lost_for)
-        to.lost_for = node_.store_lost_for();
-    to.time_left = time_left();
+    outage_call outage;
+    if (node_.store_outage_time)
+        outage.lost_for = node_.store_outage_time();
+    outage.time_left = time_left();
     auto const found = node_.whole_times.find(route_->name);
-    to.whole_time =
-        found == node_.whole_times.end() ? to.time_left : found->second;
-    return to;
+    outage.whole_time =
+        found == node_.whole_times.end() ? outage.time_left : found->second;
+    return outage;
 }
 
 void call_flow::refuse_without_store(std::string_view why)
 {
-    auto const outage = in_outage();
-    story_["store_lost_ms"] = ms_count(outage.lost_for);
+    auto const outage = current_outage();
+    log_fields_["store_lost_ms"] = ms_count(outage.lost_for);
     auto const wait = outage.lost_for.count() > 0 ? come_back_in_outage(outage)
-                                                  : come_back_later;
-    // refuse() spreads from there on.
+                                                  : retry_after_without_store;
+    // refuse() adds a random delay of up to the spread subtracted here.
     refuse(why, std::max(wait - come_back_spread, come_back_soon));
 }
 
-void call_flow::refuse(std::string_view why, milliseconds come_back)
+void call_flow::refuse(std::string_view why, milliseconds retry_after)
 {
     return_quota();
-    answer_own(status_unavailable, why, come_back + retry_after_jitter());
+    respond_locally(
+        status_unavailable, why, retry_after + retry_after_jitter());
 }
 
 milliseconds call_flow::retry_after_jitter() const
@@ -377,29 +383,30 @@
     return call_.owner_rank.value_or(route_->rank);
 }
 
-void call_flow::answer_own(
-    int status, std::string_view why, milliseconds come_back)
+void call_flow::respond_locally(
+    int status, std::string_view why, milliseconds retry_after)
 {
     if (done_)
         return;
     platform::own_answer answer;
     answer.status = status;
     answer.message = std::string(why);
-    answer.retry_after = come_back;
+    answer.retry_after = retry_after;
     answer.id = call_.id;
     link_->write(platform::encode_own_answer(answer, node_.stopping));
-    story_["status"] = status;
-    story_["why"] = why;
-    if (come_back.count() > 0)
-        story_["retry_after_ms"] = come_back.count();
+    log_fields_["status"] = status;
+    log_fields_["why"] = why;
+    if (retry_after.count() > 0)
+        log_fields_["retry_after_ms"] = retry_after.count();
     node_.counters.count(
         "walnutmill_own_answers_total{status=\"" + std::to_string(status) +
         "\"}");
     finish("own answer", true);
 }
 
-/// Ends a call whose fate at an engine is unknown, or whose answer has begun.
-void call_flow::break_off(std::string_view why)
+/// Ends a call whose outcome at an engine is unknown, or whose answer has
+/// already started.
+void call_flow::abort_call(std::string_view why)
 {
     if (done_)
         return;
@@ -410,12 +417,12 @@
     }
     if (!head_written_)
     {
-        answer_own(
+        respond_locally(
             time_left() < deadline_margin ? status_timeout : status_bad_gateway,
             why);
         return;
     }
-    story_["why"] = why;
+    log_fields_["why"] = why;
     link_->on_gone = {};
     link_->abort();
     finish("broken off", true);
@@ -426,21 +433,21 @@
     if (done_)
         return;
     done_ = true;
-    settle();
-    deadline_.cancel();
+    settle_budget();
+    deadline_timer_.cancel();
     stall_timer_.cancel();
-    if (outcome != "broken off" && !left_)
+    if (outcome != "broken off" && !caller_disconnected_)
         link_->finish_answer(node_.stopping);
     link_->on_gone = {};
-    story_["outcome"] = outcome;
-    story_["tokens"] = handed_out_;
-    story_["sends"] = sends_;
-    story_["ms"] = ms_count(node_.clock() - arrived_);
+    log_fields_["outcome"] = outcome;
+    log_fields_["tokens"] = delivered_tokens_;
+    log_fields_["sends"] = sends_;
+    log_fields_["ms"] = ms_count(node_.clock() - arrived_);
     if (!call_.id.empty())
     {
         node_.log.write(
             trouble ? line_weight::important : line_weight::routine,
-            "call.ended", story_);
+            "call.ended", log_fields_);
     }
     node_.counters.count(
         "walnutmill_calls_total{outcome=\"" + std::string(outcome) + "\"}");
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -2,8 +2,9 @@
 #define WALNUTMILL_SRC_ENTRY_CALL_FLOW_HPP
 
 /// \file
-/// The life of one call: from the caller's request over the program's budget,
-/// its history and an engine to the caller's answer.
+/// Handles one call from the caller's request to its answer: routing, identity,
+/// quota, the program's token budget, its turn history, and attempts at
+/// engines.
 
 #include <walnutmill/call.hpp>
 #include <walnutmill/denied_keys.hpp>
@@ -38,7 +39,7 @@
 namespace walnutmill
 {
 
-/// What calls use of their node.
+/// Services of the entry node that its calls use.
 struct entry_services
 {
     boost::asio::io_context& io;
@@ -58,32 +59,34 @@
     /// Nodes that share the engines' connections, this one included.
     std::uint32_t nodes = 1;
     bool stopping = false;
-    /// False once a call taken now could not end before the process does.
+    /// False once a new call could not complete before the process exits.
     bool takes_calls = true;
     std::size_t calls_under_way = 0;
-    /// How long the store has answered nobody; zero while it does.
-    std::function<duration()> store_lost_for;
-    /// The longest time that callers of a route came with, by its name, since
-    /// the configuration changed.
+    /// Time since the store last answered any request; zero while it answers.
+    std::function<duration()> store_outage_time;
+    /// Longest time limit of a call by route name, since the configuration
+    /// last changed.
     std::unordered_map<std::string, duration> whole_times;
-    /// Calls back once the load of the engines is as new as it can be had;
-    /// null: at once.
+    /// Calls back once the engine loads are as recent as available. Null: the
+    /// engine is chosen at once.
     std::function<void(std::function<void()>)> before_choice{};
-    /// A call at a model engine began or ended; null: nobody is told.
+    /// Called when a call at a model engine starts or ends; may be null.
     std::function<void()> on_calls_changed{};
-    /// Within which no node serves a key that was taken away; zero: no bound.
+    /// Time after which no node accepts a revoked key; zero: no bound.
     duration revoke_within{0};
-    /// Since the configuration is known to be whole; null: always is.
+    /// Time since the configuration was last confirmed to be complete. Null:
+    /// it always counts as complete.
     std::function<duration()> configuration_age{};
-    /// Calls back once the configuration is known to be whole as of a later
-    /// time. \return false where too many calls wait for that already
+    /// Calls back once the configuration is confirmed to be complete as of a
+    /// later time. \return false if too many calls already wait for that
     std::function<bool(std::function<void()>)> after_confirmation{};
-    /// Null: workspaces have no limits.
+    /// Null: workspaces have no request limits.
     quota_exchange* quotas = nullptr;
     workspace_counters requests_by_workspace{counters};
     denied_keys denied{};
 };
 
+/// State machine of one call. Its pending callbacks share ownership of it.
 class call_flow : public std::enable_shared_from_this<call_flow>
 {
 public:
@@ -94,35 +97,38 @@
     call_flow(call_flow const&) = delete;
     call_flow& operator=(call_flow const&) = delete;
 
+    /// Decodes the request and starts the call.
     void start();
 
 private:
-    struct attempt
+    struct engine_attempt
     {
         placement at;
         engine_links::link_ptr link;
         time_point sent_at{};
-        /// When bytes of its answer came last, or when it was sent.
+        /// Time of the last bytes received, or of sending if there are none.
         time_point heard_at{};
+        /// Silence after which the engine counts as stalled.
         duration patience{0};
         engine_answer answer;
         std::string body;
         event_cutter events;
-        /// The answer's head has come and says that the engine runs it.
-        bool runs = false;
+        /// The response head has arrived and says that the engine runs the
+        /// call.
+        bool accepted_by_engine = false;
         bool ended = false;
     };
-    using attempt_ptr = std::shared_ptr<attempt>;
+    using attempt_ptr = std::shared_ptr<engine_attempt>;
 
     bool route_call();
     void choose_service();
     void check_identity();
-    void adopt(workspace const& owner);
+    void set_owner(workspace const& owner);
     void scope_ids();
-    void look_for_key(duration configuration_age);
+    void recheck_or_reject_key(duration configuration_age);
     void identify_again();
-    void deny(std::string_view why);
-    void take_quota();
+    void reject_key(std::string_view why);
+    void acquire_quota();
     void quota_answered(quota_answer const& answer);
     void refuse_over_limit(
         std::string_view why, std::chrono::milliseconds retry_after);
@@ -131,48 +137,49 @@
     std::chrono::milliseconds retry_after_jitter() const;
     void arm_deadline();
     void admit();
-    void granted(budget_desk::grant const& one);
-    void settle();
-    std::optional<prompt_place> prompt_left() const;
+    void budget_granted(budget_desk::grant const& grant);
+    void settle_budget();
+    std::optional<prompt_place> cached_prefix_location() const;
     void refuse_for_budget(admission_answer answer);
     void load_history();
-    void load_turn(request_id const& last, bool may_be_unscoped);
+    void load_turn(request_id const& previous, bool try_unscoped_id);
     void try_engine();
     void choose_engine();
-    void tell_calls() const;
-    void exchange(attempt_ptr const& one);
+    void notify_calls_changed() const;
+    void exchange(attempt_ptr const& attempt);
     std::uint32_t connection_limit() const;
     std::optional<std::uint32_t> rank() const;
 
-    void on_head(attempt_ptr const& one, platform::response_head const& head);
-    void on_body(attempt_ptr const& one, std::string_view bytes);
-    void on_end(attempt_ptr const& one, link_end how);
-    void end_attempt(attempt_ptr const& one, engine_outcome outcome);
-    void watch_for_stall(attempt_ptr const& one);
-    void check_progress(attempt_ptr const& one);
-    bool may_leave(attempt_ptr const& one);
-    void refused_by_engine(attempt_ptr const& one);
-    void attempt_broke(attempt_ptr const& one);
-    void attempt_completed(attempt_ptr const& one);
-    void retry_or_fail(attempt_ptr const& one, bool complete_failure);
-    bool ran(engine_ref const& engine) const;
-    bool may_run_elsewhere(engine_ref const& left) const;
-
-    void forward_event(attempt_ptr const& one, stream_event const& event);
+    void
+    on_head(attempt_ptr const& attempt, platform::response_head const& head);
+    void on_body(attempt_ptr const& attempt, std::string_view bytes);
+    void on_end(attempt_ptr const& attempt, link_end how);
+    void end_attempt(attempt_ptr const& attempt, engine_outcome outcome);
+    void watch_for_stall(attempt_ptr const& attempt);
+    void check_progress(attempt_ptr const& attempt);
+    bool may_leave(attempt_ptr const& attempt);
+    void refused_by_engine(attempt_ptr const& attempt);
+    void attempt_interrupted(attempt_ptr const& attempt);
+    void attempt_completed(attempt_ptr const& attempt);
+    void retry_or_fail(attempt_ptr const& attempt, bool complete_failure);
+    bool may_have_run(engine_ref const& engine) const;
+    bool may_run_elsewhere(engine_ref const& previous) const;
+
+    void forward_event(attempt_ptr const& attempt, stream_event const& event);
     void stream_completed();
-    void deliver(attempt_ptr const& one);
+    void deliver(attempt_ptr const& attempt);
 
-    void time_is_up();
-    void caller_left();
-    outage_call in_outage() const;
-    void refuse(std::string_view why, std::chrono::milliseconds come_back);
+    void on_deadline();
+    void on_caller_disconnected();
+    outage_call current_outage() const;
+    void refuse(std::string_view why, std::chrono::milliseconds retry_after);
     void refuse_without_store(std::string_view why);
-    void answer_own(
+    void respond_locally(
         int status, std::string_view why,
-        std::chrono::milliseconds come_back = std::chrono::milliseconds(0));
-    void break_off(std::string_view why);
+        std::chrono::milliseconds retry_after = std::chrono::milliseconds(0));
+    void abort_call(std::string_view why);
     void finish(std::string_view outcome, bool trouble);
-    void note_attempt(attempt_ptr const& one, std::string_view outcome);
+    void note_attempt(attempt_ptr const& attempt, std::string_view outcome);
     duration time_left() const;
 
     entry_services& node_;
@@ -183,33 +190,35 @@
     route const* route_ = nullptr;
     service const* service_ = nullptr;
     placement_need need_;
-    boost::asio::steady_timer deadline_;
+    boost::asio::steady_timer deadline_timer_;
     boost::asio::steady_timer stall_timer_;
     time_point arrived_;
-    time_point give_up_at_;
+    time_point deadline_at_;
     attempt_ptr current_;
     /// Engines that may have run the call.
-    std::vector<engine_ref> ran_at_;
+    std::vector<engine_ref> possibly_run_at_;
     int sends_ = 0;
-    /// Times that an engine was left because it had fallen silent.
+    /// Attempts abandoned because the engine was silent for too long.
     int stalls_ = 0;
-    std::uint64_t most_tokens_ = 0;
+    std::uint64_t max_tokens_ = 0;
     std::uint64_t tokens_per_event_ = 1;
-    std::uint64_t handed_out_ = 0;
+    std::uint64_t delivered_tokens_ = 0;
     std::optional<budget_desk::grant> grant_;
-    /// A token of the workspace's limit was granted.
-    bool quota_taken_ = false;
-    /// Id under which the turn is kept.
-    request_id kept_id_;
-    /// The turn before, as the caller named it.
+    /// The workspace's rate limit has granted a token to this call.
+    bool quota_acquired_ = false;
+    /// ID under which the turn is stored.
+    request_id stored_turn_id_;
+    /// ID of the previous turn as the caller sent it, without the workspace
+    /// scope.
     request_id unscoped_previous_;
     bool head_written_ = false;
     bool done_ = false;
-    bool left_ = false;
+    bool caller_disconnected_ = false;
     std::optional<std::uint64_t> last_event_;
     turn_chain chain_;
     std::string output_;
-    nlohmann::json story_;
+    /// Fields of the log line `call.ended`.
+    nlohmann::json log_fields_;
 };
 
 } // namespace walnutmill
--- a/src/entry/call_identity.cpp
+++ b/src/entry/call_identity.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The part of a call's life in which it is told whose it is, and whether its
-/// workspace may make it.
+/// Identifies the workspace of a call by its key and checks the workspace's
+/// request limit.
 
 #include "entry/call_flow.hpp"
 
@@ -17,8 +17,9 @@
 
 using std::chrono::milliseconds;
 
-/// Longest wait of a call with an unknown key for a newer configuration.
-constexpr milliseconds longest_look{1'500};
+/// Longest time that a call with an unknown key waits for a newer
+/// configuration.
+constexpr milliseconds max_confirmation_wait{1'500};
 
 constexpr int status_unauthorized = 401;
 constexpr int status_too_many = 429;
@@ -29,19 +30,19 @@
 {
     auto const age =
         node_.configuration_age ? node_.configuration_age() : duration(0);
-    auto const who =
+    auto const identity =
         identify(*table_, *route_, call_, age, node_.revoke_within);
     if (table_->workspaces)
     {
-        story_["identity"] = to_string(who.answer);
+        log_fields_["identity"] = to_string(identity.answer);
         if (age != duration::max())
-            story_["configuration_age_ms"] = ms_count(age);
+            log_fields_["configuration_age_ms"] = ms_count(age);
     }
-    switch (who.answer)
+    switch (identity.answer)
     {
     case identity_answer::identified:
-        adopt(*who.owner);
-        take_quota();
+        set_owner(*identity.owner);
+        acquire_quota();
         break;
     case identity_answer::anonymous:
         if (table_->workspaces)
@@ -49,10 +50,10 @@
         admit();
         break;
     case identity_answer::key_missing:
-        deny("a key is needed");
+        reject_key("an API key is required");
         break;
     case identity_answer::key_unknown:
-        look_for_key(age);
+        recheck_or_reject_key(age);
         break;
     case identity_answer::stale:
         refuse("the configuration is too old to check the key", come_back_soon);
@@ -60,15 +61,16 @@
     }
 }
 
-void call_flow::adopt(workspace const& owner)
+void call_flow::set_owner(workspace const& owner)
 {
     call_.owner = owner.name;
     call_.owner_rank = owner.rank;
-    story_["workspace"] = owner.name.str();
+    log_fields_["workspace"] = owner.name.str();
     scope_ids();
 }
 
-/// Programs and turns of different workspaces may bear the same ids.
+/// Prefixes IDs with the workspace, since programs and turns of different
+/// workspaces may have the same IDs.
 void call_flow::scope_ids()
 {
     auto& program = call_.program;
@@ -77,7 +79,7 @@
         program.program =
             program_id(scoped_id(call_.owner, program.program.str()));
     }
-    kept_id_ = request_id(scoped_id(call_.owner, call_.id.str()));
+    stored_turn_id_ = request_id(scoped_id(call_.owner, call_.id.str()));
     unscoped_previous_ = program.previous_turn;
     if (!program.previous_turn.empty())
     {
@@ -86,20 +88,21 @@
     }
 }
 
-/// Denies the key only once a configuration was read that holds all that was
-/// acknowledged before the call came: it may just have been added.
-void call_flow::look_for_key(duration configuration_age)
+/// Rejects the key only after a configuration has been read that holds every
+/// change acknowledged before the call arrived, since the key may be new.
+void call_flow::recheck_or_reject_key(duration configuration_age)
 {
     auto const now = node_.clock();
     auto const waited = now - arrived_;
-    auto const looked = configuration_age <= waited || waited >= longest_look ||
-                        node_.denied.holds(*call_.key, now);
-    if (!looked && node_.after_confirmation &&
+    auto const confirmed = configuration_age <= waited ||
+                           waited >= max_confirmation_wait ||
+                           node_.denied.holds(*call_.key, now);
+    if (!confirmed && node_.after_confirmation &&
         node_.after_confirmation([self = shared_from_this()]
                                  { self->identify_again(); }))
         return;
     node_.denied.add(*call_.key, now);
-    deny("no workspace holds this key");
+    reject_key("no workspace holds this key");
 }
 
 void call_flow::identify_again()
@@ -107,18 +110,18 @@
     if (done_)
         return;
     table_ = node_.table;
-    story_["configuration"] = table_->version;
+    log_fields_["configuration"] = table_->version;
     if (route_call())
         check_identity();
 }
 
-void call_flow::deny(std::string_view why)
+void call_flow::reject_key(std::string_view why)
 {
     node_.counters.count("walnutmill_keys_denied_total");
-    answer_own(status_unauthorized, why);
+    respond_locally(status_unauthorized, why);
 }
 
-void call_flow::take_quota()
+void call_flow::acquire_quota()
 {
     if (node_.quotas == nullptr)
     {
@@ -136,9 +139,10 @@
                     self->node_.quotas->give_back(self->call_.owner);
                 return;
             }
-            self->story_["quota_ms"] = ms_count(self->node_.clock() - began);
+            self->log_fields_["quota_ms"] =
+                ms_count(self->node_.clock() - began);
             if (!coordinator.empty())
-                self->story_["quota_coordinator"] = coordinator;
+                self->log_fields_["quota_coordinator"] = coordinator;
             self->quota_answered(answer);
         });
 }
@@ -149,7 +153,7 @@
     switch (answer.decision)
     {
     case quota_decision::granted:
-        quota_taken_ = true;
+        quota_acquired_ = true;
         admit();
         break;
     case quota_decision::over_limit:
@@ -167,18 +171,18 @@
 {
     if (auto const* owner = table_->workspaces->find(call_.owner))
     {
-        story_["limit_per_s"] = owner->limit.per_second;
-        story_["limit_burst"] = owner->limit.burst;
+        log_fields_["limit_per_s"] = owner->limit.per_second;
+        log_fields_["limit_burst"] = owner->limit.burst;
     }
-    answer_own(status_too_many, why, retry_after + retry_after_jitter());
+    respond_locally(status_too_many, why, retry_after + retry_after_jitter());
 }
 
-/// The call reached no engine.
+/// Returns the rate limit token of a call that has reached no engine.
 void call_flow::return_quota()
 {
-    if (!quota_taken_)
+    if (!quota_acquired_)
         return;
-    quota_taken_ = false;
+    quota_acquired_ = false;
     node_.quotas->give_back(call_.owner);
 }
 
--- a/src/entry/call_story.cpp
+++ b/src/entry/call_story.cpp
@@ -12,17 +12,18 @@
 
 using nlohmann::json;
 
-/// How long before a call began its node's and engine's events may matter:
-/// longer than configurations and engines take to be seen.
-constexpr std::int64_t before_ms = 5'000;
+/// Events of a call's nodes and engines are included from this long before the
+/// call started. It is longer than nodes take to see changes of configurations
+/// and engines.
+constexpr std::int64_t lookback_ms = 5'000;
 
-/// Events of a node that bear on all of its calls.
+/// Events of a node that affect all of its calls.
 constexpr std::array<std::string_view, 8> node_events{
     "node.start",        "node.stopping",  "node.stopped",
     "store.lost",        "store.regained", "configuration.applied",
     "settings.reloaded", "log.dropped"};
 
-std::string text_of(json const& line, char const* field)
+std::string field_text(json const& line, char const* field)
 {
     auto const found = line.find(field);
     if (found == line.end())
@@ -30,15 +31,15 @@
     return found->is_string() ? found->get<std::string>() : found->dump();
 }
 
-bool listed(std::string const& event)
+bool is_node_event(std::string const& event)
 {
     return std::find(node_events.begin(), node_events.end(), event) !=
            node_events.end();
 }
 
-std::string describe(json const& line)
+std::string format_event(json const& line)
 {
-    std::string out = text_of(line, "event");
+    std::string out = field_text(line, "event");
     for (auto const& [key, value] : line.items())
     {
         if (key == "time_ms" || key == "node" || key == "event")
@@ -70,62 +71,65 @@
 
 bool call_story::concerns(json const& line) const
 {
-    return text_of(line, "request") == id_ || text_of(line, "program") == id_;
+    return field_text(line, "request") == id_ ||
+           field_text(line, "program") == id_;
 }
 
-std::vector<call_story::event> call_story::related() const
+std::vector<call_story::event> call_story::related_events() const
 {
     std::set<std::string> nodes;
     std::set<std::string> engines;
     std::int64_t first = 0;
     std::int64_t last = 0;
-    for (auto const& one : events_)
+    for (auto const& entry : events_)
     {
-        if (!concerns(one.line))
+        if (!concerns(entry.line))
             continue;
-        nodes.insert(text_of(one.line, "node"));
-        engines.insert(text_of(one.line, "engine"));
-        auto const began = one.time_ms - one.line.value("ms", std::int64_t{0});
+        nodes.insert(field_text(entry.line, "node"));
+        engines.insert(field_text(entry.line, "engine"));
+        auto const began =
+            entry.time_ms - entry.line.value("ms", std::int64_t{0});
         first = first == 0 ? began : std::min(first, began);
-        last = std::max(last, one.time_ms);
+        last = std::max(last, entry.time_ms);
     }
-    std::vector<event> picked;
-    for (auto const& one : events_)
+    std::vector<event> selected;
+    for (auto const& entry : events_)
     {
-        auto const near =
-            one.time_ms >= first - before_ms && one.time_ms <= last;
-        auto const event_name = text_of(one.line, "event");
-        auto const of_node = near &&
-                             nodes.count(text_of(one.line, "node")) > 0 &&
-                             listed(event_name);
-        auto const of_engine = near && event_name.rfind("engine.", 0) == 0 &&
-                               engines.count(text_of(one.line, "engine")) > 0;
-        if (concerns(one.line) || of_node || of_engine)
-            picked.push_back(one);
+        auto const in_time_window =
+            entry.time_ms >= first - lookback_ms && entry.time_ms <= last;
+        auto const event_name = field_text(entry.line, "event");
+        auto const concerns_node =
+            in_time_window && nodes.count(field_text(entry.line, "node")) > 0 &&
+            is_node_event(event_name);
+        auto const concerns_engine =
+            in_time_window && event_name.rfind("engine.", 0) == 0 &&
+            engines.count(field_text(entry.line, "engine")) > 0;
+        if (concerns(entry.line) || concerns_node || concerns_engine)
+            selected.push_back(entry);
     }
     std::stable_sort(
-        picked.begin(), picked.end(),
+        selected.begin(), selected.end(),
         [](event const& a, event const& b) { return a.time_ms < b.time_ms; });
-    return picked;
+    return selected;
 }
 
 std::vector<std::string> call_story::tell() const
 {
-    std::vector<std::string> story;
-    auto const known = std::any_of(
+    std::vector<std::string> formatted;
+    auto const found = std::any_of(
         events_.begin(), events_.end(),
-        [this](event const& one) { return concerns(one.line); });
-    if (!known)
-        return story;
-    auto const picked = related();
-    for (auto const& one : picked)
+        [this](event const& entry) { return concerns(entry.line); });
+    if (!found)
+        return formatted;
+    auto const selected = related_events();
+    for (auto const& entry : selected)
     {
-        auto const since = one.time_ms - picked.front().time_ms;
-        story.push_back(
-            std::to_string(since) + " ms  " + text_of(one.line, "node") + "  " +
-            describe(one.line));
+        auto const elapsed_ms = entry.time_ms - selected.front().time_ms;
+        formatted.push_back(
+            std::to_string(elapsed_ms) + " ms  " +
+            field_text(entry.line, "node") + "  " + format_event(entry.line));
     }
-    return story;
+    return formatted;
 }
 
 } // namespace walnutmill
--- a/src/entry/call_story.hpp
+++ b/src/entry/call_story.hpp
@@ -2,7 +2,7 @@
 #define WALNUTMILL_SRC_ENTRY_CALL_STORY_HPP
 
 /// \file
-/// Tells what became of a call or a program from the log lines of nodes.
+/// Builds the timeline of a call or program from the log lines of nodes.
 
 #include <istream>
 #include <string>
@@ -14,19 +14,19 @@
 namespace walnutmill
 {
 
-/// Collects log lines and picks those that concern one id.
+/// Collects log lines and selects those that concern one ID.
 class call_story
 {
 public:
-    /// \param id of a request or of a program
+    /// \param id ID of a request or program
     explicit call_story(std::string id);
 
-    /// Reads the lines of one or more nodes; text before a line's JSON and
-    /// lines that are none are passed over.
+    /// Reads log lines of one or more nodes. Skips text before a line's JSON
+    /// object and lines without one.
     void read(std::istream& lines);
 
-    /// \return the story, a line each, in order of time; empty where no line
-    /// bears the id.
+    /// \return the timeline as one text per event, sorted by time; empty if no
+    /// line contains the ID.
     std::vector<std::string> tell() const;
 
 private:
@@ -37,7 +37,7 @@
     };
 
     bool concerns(nlohmann::json const& line) const;
-    std::vector<event> related() const;
+    std::vector<event> related_events() const;
 
     std::string id_;
     std::vector<event> events_;
--- a/test/call_story-test.cpp
+++ b/test/call_story-test.cpp
@@ -9,19 +9,19 @@
 
 using namespace walnutmill;
 
-struct story_fixture
+struct trace_fixture
 {
-    call_story story{"r1"};
+    call_story trace{"r1"};
 
     void read(std::string const& text)
     {
         std::istringstream in(text);
-        story.read(in);
+        trace.read(in);
     }
-    std::string told() const
+    std::string all_lines() const
     {
         std::string all;
-        for (auto const& line : story.tell())
+        for (auto const& line : trace.tell())
             all += line + "\n";
         return all;
     }
@@ -29,14 +29,15 @@
 
 } // namespace
 
-TEST_CASE_METHOD(story_fixture, "story: an id that no line bears has none")
+TEST_CASE_METHOD(
+    trace_fixture, "story: is empty for an ID that no line contains")
 {
     read(R"({"time_ms":1,"node":"a","event":"call.ended","request":"r2"})");
-    CHECK(story.tell().empty());
+    CHECK(trace.tell().empty());
 }
 
 TEST_CASE_METHOD(
-    story_fixture, "story: lines of several nodes are told in order of time")
+    trace_fixture, "story: lines of several nodes are sorted by time")
 {
     read(
         R"(  2.0 a {"time_ms":2000,"node":"a","event":"call.ended","request":"r1","status":503,"why":"the engines are full","ms":5}
@@ -46,7 +47,7 @@
 {"time_ms":1100,"node":"b","event":"engine.draining","engine":"e2"}
 {"time_ms":1200,"node":"a","event":"store.lost","why":"no answer"}
 {"time_ms":1300,"node":"c","event":"store.lost","why":"no answer"})");
-    auto const lines = story.tell();
+    auto const lines = trace.tell();
     REQUIRE(lines.size() == 4);
     CHECK(lines[0].find("engine.draining engine=e1") != std::string::npos);
     CHECK(lines[1].find("a  store.lost") != std::string::npos);
@@ -54,10 +55,10 @@
     CHECK(lines[3].find("why=the engines are full") != std::string::npos);
 }
 
-TEST_CASE_METHOD(story_fixture, "story: what happened long before is left out")
+TEST_CASE_METHOD(trace_fixture, "story: excludes events long before the call")
 {
     read(
         R"({"time_ms":1000,"node":"a","event":"store.lost","why":"no answer"}
 {"time_ms":90000,"node":"a","event":"call.ended","request":"r1","status":502})");
-    CHECK(story.tell().size() == 1);
+    CHECK(trace.tell().size() == 1);
 }
