--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -102,7 +102,7 @@
                 chosen ? "all engines asked refused" : "no engine to ask",
                 come_back_soon);
         else
-            abort_call("no engine left to continue the call");
+            abort_call("no engine left to go on at");
         return;
     }
     auto const attempt = std::make_shared<engine_attempt>();
@@ -426,7 +426,7 @@
                 ms_count(self->node_.clock() - began);
             if (!durable)
             {
-                self->abort_call("the turn could not be stored");
+                self->abort_call("the turn could not be kept");
                 return;
             }
             self->link_->write(last_chunk());
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -262,7 +262,7 @@
     else if (answer == admission_answer::contended)
         refuse("the budget is taken by turns under way", come_back_spread);
     else
-        refuse_without_store("the budget store does not answer");
+        refuse_without_store("the store of budgets does not answer");
 }
 
 void call_flow::load_history()
@@ -304,10 +304,10 @@
                 self->try_engine();
             }
             else if (answer == history_answer::unknown_turn)
-                self->respond_locally(
-                    status_not_found, "no such turn is stored");
+                self->respond_locally(status_not_found, "no such turn is kept");
             else
-                self->refuse_without_store("the turn store does not answer");
+                self->refuse_without_store(
+                    "the store of turns does not answer");
         },
         call_.program.program.str());
 }
@@ -326,7 +326,7 @@
     if (sent || head_written_ || !possibly_run_at_.empty())
         abort_call("time is up");
     else
-        refuse("deadline reached before an engine was free", come_back_soon);
+        refuse("time was up before an engine was free", come_back_soon);
 }
 
 void call_flow::on_caller_disconnected()
--- a/src/entry/call_identity.cpp
+++ b/src/entry/call_identity.cpp
@@ -50,7 +50,7 @@
         admit();
         break;
     case identity_answer::key_missing:
-        reject_key("an API key is required");
+        reject_key("a key is needed");
         break;
     case identity_answer::key_unknown:
         recheck_or_reject_key(age);
