--- a/include/walnutmill/turn_history.hpp
+++ b/include/walnutmill/turn_history.hpp
@@ -2,13 +2,17 @@
 #define WALNUTMILL_TURN_HISTORY_HPP
 
 /// \file
-/// The kept turns: what was said in each, found by the id of its request from
-/// any node, also by programs that come after.
+/// Durable store of conversation turns with an in-memory LRU cache.
 ///
-/// A turn is a row that never changes, so a cached copy is never stale. Its
-/// row names all turns before it: a node that has none of them in its cache
-/// reads the last one and then the others at once, two round trips for a
-/// chain of any length.
+/// Any node can look up the input and output of a turn by its request id, also
+/// on behalf of a later program. A stored turn is immutable, so a cached copy
+/// is never stale.
+///
+/// Load pattern: a turn may reach a node that has none of its predecessors
+/// cached. Each turn stores the ids of all its predecessors. The node reads the
+/// last turn and then all others in parallel, which takes two round trips for a
+/// chain of any length. Without the list of ids the number of round trips would
+/// grow with the length of the chain.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/ids.hpp>
@@ -29,175 +33,196 @@
 namespace walnutmill
 {
 
-/// One turn as it is kept.
+/// A turn in its stored form.
 struct kept_turn
 {
     request_id id;
-    /// The turns before it, oldest first.
+    /// Ids of the preceding turns, oldest first.
     std::vector<request_id> chain;
     std::string input;
-    /// Data of each event, each followed by a line feed.
+    /// Data of all output events, each followed by a line feed.
     std::string output;
 
+    /// \return the estimated memory use in bytes, overhead included.
     std::size_t bytes() const;
 };
 
+/// Encodes the chain, input and output of a turn as CBOR; the id is omitted.
 std::string encode(kept_turn const& turn);
-/// \return null where the bytes are no turn.
+/// Decodes the result of encode().
+/// \return null if the bytes are not a valid turn.
 std::shared_ptr<kept_turn const>
 decode_turn(request_id const& id, std::string_view bytes);
 
-/// What the first row of a kept turn says beside its bytes.
+/// Header at the start of the first row of a stored turn.
 struct turn_head
 {
-    /// Rows that the turn takes, this one included.
+    /// Number of rows of the turn, including this one.
     std::size_t pieces = 1;
-    /// When it was written, in UTC seconds.
+    /// Time of writing in UTC seconds.
     std::int64_t written_at = 0;
-    /// Where the turn's bytes begin.
+    /// Size of the header in bytes, which is the offset of the encoded turn.
     std::size_t size = 0;
 };
-/// \return what a turn's first row begins with.
+/// \return the header text for the first row of a turn.
 std::string encode_turn_head(std::size_t pieces, std::int64_t written_at);
-/// \return empty where the value is no turn's first row.
+/// \return nullopt if the value is not the first row of a turn.
 std::optional<turn_head> decode_turn_head(std::string_view value);
 
+/// Result of a lookup.
 enum class history_answer
 {
     found,
-    /// There is no such turn: the store said so.
+    /// The store confirmed that the turn does not exist.
     unknown_turn,
+    /// The store did not answer, or the turn or one of its predecessors is
+    /// incomplete, invalid or missing; the turn may exist.
     store_unavailable
 };
 
-/// A chain of turns as the next turn needs it.
+/// A turn with its predecessors, as the context of the next turn.
 struct turn_chain
 {
-    /// Ids, oldest first, the one asked for last.
+    /// Ids, oldest first; the requested turn is the last one.
     std::vector<request_id> ids;
-    /// Their inputs and outputs in order.
+    /// Inputs and outputs of these turns, concatenated in order.
     std::string text;
 };
 
 struct history_options
 {
-    /// Bytes of turns cached: a busy node's turns of a minute (8 a second of
-    /// 5 KB) take 2.5 MB, first turns with 14 KB prompts 4 MB more.
+    /// Upper limit of the cache in bytes. A busy node handles 8 turns of 5 KB
+    /// per second, which is 2.5 MB per minute. First turns with prompts of
+    /// 14 KB add 4 MB.
     std::size_t cache_bytes = 16'777'216;
-    /// Bytes of a value in one row. The platform takes 65,536; base64 may or
-    /// may not count, so a row stays below three quarters of that.
+    /// Upper limit of the value of one row in bytes. The platform accepts
+    /// 65,536. It may apply that limit to the base64 form, so a row stays below
+    /// three quarters of it.
     std::size_t row_bytes = 45'000;
-    std::chrono::milliseconds patience{2'500};
-    /// A turn whose partition has not answered by then is written to another
-    /// one, too, if that answers: when a partition counts as silent (300 ms),
-    /// and a look later.
-    std::chrono::milliseconds look_after{350};
-    /// Calls back after a time; null: turns are written to one partition only.
+    /// Timeout of each read of the store.
+    std::chrono::milliseconds timeout{2'500};
+    /// Interval at which a pending write is checked. If its partition is
+    /// unresponsive, the turn is also written to another one that responds. A
+    /// partition counts as unresponsive after 300 ms, so the first check comes
+    /// shortly after that.
+    std::chrono::milliseconds fallback_check_interval{350};
+    /// Runs a function after a delay. If null, each turn is written to one
+    /// partition only.
     std::function<void(std::chrono::milliseconds, std::function<void()>)> later;
-    /// Stamps turns, so that old ones can be removed.
+    /// Clock for the time of writing, by which expired turns are removed.
     utc_fn utc = system_utc();
 };
 
-/// Other nodes that may have a turn cached.
+/// Access to the turn caches of other nodes.
 struct history_peers
 {
-    /// Asks for a turn and those before it. What comes is remembered before
-    /// \c done is called.
+    /// Requests a turn and its predecessors from a peer. The turns received are
+    /// in the cache before \c done is called.
     std::function<void(
         std::string const& group, request_id const& last,
         std::function<void()> done)>
-        ask;
-    /// Tells of a turn that was kept.
+        request_chain;
+    /// Sends a turn that has become durable to a peer.
     std::function<void(
         std::string const& group, std::shared_ptr<kept_turn const> turn)>
-        offer;
+        announce;
 };
 
+/// Reads and writes turns, with a cache in front of the store.
 class turn_history
 {
 public:
     using turn_ptr = std::shared_ptr<kept_turn const>;
     using chain_fn = std::function<void(history_answer, turn_chain)>;
-    using kept_fn = std::function<void(bool durable)>;
+    using stored_fn = std::function<void(bool durable)>;
 
-    /// \return the store's table of turns.
+    /// \return the name of the table of turns.
     static char const* table();
-    /// \return the key of a turn's row, 0 being the first.
-    static std::string piece_key(request_id const& id, std::size_t piece);
-    /// Partitions that a turn may lie in. With three, 24 in 1,000 turns find
-    /// all of theirs away while 29 in 100 partitions are; with one it is 290,
-    /// and each of them fails its program.
-    static constexpr std::size_t ways = 3;
-    /// \param way 0: where a turn usually lies
-    static std::string partition(request_id const& id, std::size_t way);
+    /// \return the key of the row of a chunk; the first chunk is 0.
+    static std::string piece_key(request_id const& id, std::size_t chunk);
+    /// Number of partitions that may hold a given turn. While 29 of 100
+    /// partitions are unavailable, all three candidates are unavailable for
+    /// 24 of 1,000 turns. With one candidate it is 290 of 1,000, and each such
+    /// turn fails its program.
+    static constexpr std::size_t partition_candidates = 3;
+    /// \param candidate index below partition_candidates; 0 is the partition
+    /// that is used by default
+    static std::string partition(request_id const& id, std::size_t candidate);
 
     explicit turn_history(versioned_store store, history_options options = {});
     ~turn_history();
     turn_history(turn_history const&) = delete;
     turn_history& operator=(turn_history const&) = delete;
 
-    /// Finds a turn and all before it.
-    /// \param done called once, maybe at once
-    /// \param group turns with the same one lie at the same peer; empty: peers
-    /// are not asked
+    /// Loads a turn and all its predecessors from the cache, a peer or the
+    /// store.
+    /// \param done called once, possibly before load() returns
+    /// \param group turns of the same group are cached by the same peer; if
+    /// empty, no peer is asked
     void
     load(request_id const& last, chain_fn done, std::string const& group = {});
 
-    /// Makes a turn durable.
+    /// Writes a turn to the store.
+    /// \param timeout limit of each transaction; the time spent before a
+    /// fallback to another partition is subtracted
+    /// \param done called once; \c durable is false if the write failed or its
+    /// outcome is unknown
+    /// \param group as in load(); if not empty, a peer gets the durable turn
     void keep(
-        kept_turn turn, std::chrono::milliseconds patience, kept_fn done,
+        kept_turn turn, std::chrono::milliseconds timeout, stored_fn done,
         std::string const& group = {});
 
     void set_peers(history_peers peers) { peers_ = std::move(peers); }
-    /// \return the turn and those before it, as far as they are cached; none
-    /// where the turn itself is not.
-    std::vector<turn_ptr> cached(request_id const& last);
-    /// \return true where the turn and all before it are cached.
-    bool has_chain(request_id const& last);
-    /// A turn that another node knows to be durable.
-    void remember(turn_ptr turn);
+    /// \return the turn and those of its predecessors that are cached, oldest
+    /// first; empty if the turn itself is not cached.
+    std::vector<turn_ptr> cached_chain(request_id const& last);
+    /// \return true if the turn and all its predecessors are cached.
+    bool has_cached_chain(request_id const& last);
+    /// Caches a turn that is already durable, for example one from a peer.
+    void add_to_cache(turn_ptr turn);
 
     std::size_t cached_bytes() const { return cached_bytes_; }
 
 private:
-    struct loading;
-    using loading_ptr = std::shared_ptr<loading>;
-    struct search;
-    using search_ptr = std::shared_ptr<search>;
-    struct keeping;
-    using keeping_ptr = std::shared_ptr<keeping>;
+    struct chain_load;
+    using chain_load_ptr = std::shared_ptr<chain_load>;
+    struct turn_lookup;
+    using turn_lookup_ptr = std::shared_ptr<turn_lookup>;
+    struct turn_write;
+    using turn_write_ptr = std::shared_ptr<turn_write>;
     using turn_fn = std::function<void(history_answer, turn_ptr)>;
     struct cached_turn
     {
         turn_ptr turn;
-        std::list<request_id>::iterator use;
+        std::list<request_id>::iterator recency_position;
     };
 
     turn_ptr find(request_id const& id);
     void load_from_store(request_id const& last, chain_fn done);
     void fetch(request_id const& id, turn_fn done);
-    void search_way(search_ptr const& one, std::size_t way);
-    void way_searched(
-        search_ptr const& one, std::size_t way, range_result const& result);
-    void fetch_pieces(
-        request_id const& id, std::size_t way, std::string first,
+    void read_candidate(turn_lookup_ptr const& lookup, std::size_t candidate);
+    void on_candidate_read(
+        turn_lookup_ptr const& lookup, std::size_t candidate,
+        range_result const& result);
+    void fetch_chunks(
+        request_id const& id, std::size_t candidate, std::string first_chunk,
         std::size_t pieces, turn_fn const& done);
-    void load_chain(loading_ptr const& one);
-    void one_loaded(loading_ptr const& one);
-    bool answers(request_id const& id, std::size_t way) const;
-    void keep_way(keeping_ptr const& one);
-    void watch(keeping_ptr const& one);
-    void way_kept(keeping_ptr const& one, bool durable);
-    void write_pieces(
+    void load_chain(chain_load_ptr const& load_state);
+    void on_turn_loaded(chain_load_ptr const& load_state);
+    bool answers(request_id const& id, std::size_t candidate) const;
+    void write_candidate(turn_write_ptr const& write);
+    void schedule_fallback(turn_write_ptr const& write);
+    void on_candidate_written(turn_write_ptr const& write, bool durable);
+    void write_chunks(
         std::shared_ptr<std::vector<row_value>> const& rows, std::size_t from,
-        std::chrono::milliseconds patience, kept_fn done);
+        std::chrono::milliseconds timeout, stored_fn done);
 
     versioned_store store_;
     history_options options_;
     history_peers peers_;
     std::unordered_map<request_id, cached_turn> cache_;
     /// Least recently used first.
-    std::list<request_id> uses_;
+    std::list<request_id> recency_;
     std::size_t cached_bytes_ = 0;
     std::shared_ptr<bool> alive_;
 };
--- a/src/entry/history_exchange.cpp
+++ b/src/entry/history_exchange.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-constexpr std::string_view ask_path = "/history/turns";
-constexpr std::string_view offer_path = "/history/kept";
+constexpr std::string_view chain_path = "/history/turns";
+constexpr std::string_view announce_path = "/history/kept";
 
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
@@ -21,26 +21,26 @@
 
 json encode_turns(std::vector<std::shared_ptr<kept_turn const>> const& turns)
 {
-    auto to = json::array();
+    auto result = json::array();
     for (auto const& one : turns)
     {
         auto const bytes = encode(*one);
-        to.push_back(
+        result.push_back(
             {{"id", one->id.str()},
              {"turn", json::binary(json::binary_t::container_type(
                           bytes.begin(), bytes.end()))}});
     }
-    return to;
+    return result;
 }
 
-/// \return those that can be read; a peer's mistake costs a read of the store.
+/// \return the valid turns. Invalid ones are skipped and read from the store.
 std::vector<std::shared_ptr<kept_turn const>>
 decode_turns(std::string_view bytes)
 {
-    std::vector<std::shared_ptr<kept_turn const>> to;
+    std::vector<std::shared_ptr<kept_turn const>> result;
     auto const body = json::from_cbor(bytes, true, false);
     if (!body.is_array())
-        return to;
+        return result;
     for (auto const& one : body)
     {
         if (!one.is_object() || !one.contains("id") || !one["id"].is_string() ||
@@ -51,26 +51,27 @@
             request_id(one["id"].get<std::string>()),
             std::string(turn.begin(), turn.end()));
         if (decoded)
-            to.push_back(std::move(decoded));
+            result.push_back(std::move(decoded));
     }
-    return to;
+    return result;
 }
 
 } // namespace
 
 history_exchange::history_exchange(
     boost::asio::io_context& io, turn_history& history, clock_fn clock,
-    std::string self, std::string domain, exchange_options options)
+    std::string self, std::string domain, history_exchange_options options)
     : history_(history), clock_(std::move(clock)), caller_(io),
       self_(std::move(self)), domain_(std::move(domain)), options_(options)
 {
     history_peers peers;
-    peers.ask = [this](
-                    std::string const& group, request_id const& last,
-                    std::function<void()> const& done)
-    { ask(group, last, done); };
-    peers.offer = [this](std::string const& group, turn_history::turn_ptr turn)
-    { offer(group, {std::move(turn)}); };
+    peers.request_chain = [this](
+                              std::string const& group, request_id const& last,
+                              std::function<void()> const& done)
+    { request_chain(group, last, done); };
+    peers.announce =
+        [this](std::string const& group, turn_history::turn_ptr turn)
+    { announce(group, {std::move(turn)}); };
     history_.set_peers(std::move(peers));
 }
 
@@ -84,146 +85,151 @@
     std::map<std::string, std::vector<home_candidate>> others)
 {
     others[domain_];
-    for (auto it = homes_.begin(); it != homes_.end();)
-        it = others.count(it->first) > 0 ? std::next(it) : homes_.erase(it);
+    for (auto it = domain_coordinators_.begin();
+         it != domain_coordinators_.end();)
+        it = others.count(it->first) > 0 ? std::next(it)
+                                         : domain_coordinators_.erase(it);
     for (auto& [domain, nodes] : others)
     {
-        // Only in its own domain may a node be a program's peer itself.
+        // This node is a candidate coordinator in its own domain only.
         auto const self = domain == domain_ ? self_ : std::string();
-        homes_.emplace(domain, program_homes(self))
+        domain_coordinators_.emplace(domain, program_homes(self))
             .first->second.set_nodes(std::move(nodes));
     }
 }
 
-void history_exchange::ask(
+void history_exchange::request_chain(
     std::string const& group, request_id const& last,
     std::function<void()> const& done)
 {
-    auto const own = homes_.find(domain_);
-    auto const* peer =
-        own == homes_.end() ? nullptr : own->second.home_of(group, clock_());
+    auto const own = domain_coordinators_.find(domain_);
+    auto const* peer = own == domain_coordinators_.end()
+                           ? nullptr
+                           : own->second.home_of(group, clock_());
     if (peer == nullptr)
     {
-        ask_other_domains(group, last, done);
+        request_from_other_domains(group, last, done);
         return;
     }
-    ask_peer(
+    request_from_peer(
         *peer, last,
         [this, group, last, done]
         {
-            if (history_.has_chain(last))
+            if (history_.has_cached_chain(last))
                 done();
             else
-                ask_other_domains(group, last, done);
+                request_from_other_domains(group, last, done);
         });
 }
 
-/// Goes on once one of them had all, or none has.
-void history_exchange::ask_other_domains(
+/// Calls \c done once the chain is complete or all coordinators have answered.
+void history_exchange::request_from_other_domains(
     std::string const& group, request_id const& last,
     std::function<void()> const& done)
 {
     struct round
     {
-        std::size_t open = 1;
-        bool ended = false;
+        std::size_t pending = 1;
+        bool finished = false;
     };
     auto const all = std::make_shared<round>();
     auto const answered = [this, all, group, last, done]
     {
-        --all->open;
-        auto const complete = history_.has_chain(last);
-        if (all->ended || (all->open > 0 && !complete))
+        --all->pending;
+        auto const complete = history_.has_cached_chain(last);
+        if (all->finished || (all->pending > 0 && !complete))
             return;
-        all->ended = true;
-        // The program's next turns are likely to come through here.
+        all->finished = true;
+        // Later turns of the program are likely to arrive in this domain.
         if (complete)
-            offer(group, history_.cached(last));
+            announce(group, history_.cached_chain(last));
         done();
     };
-    for (auto const& [domain, homes] : homes_)
+    for (auto const& [domain, coordinators] : domain_coordinators_)
     {
         if (domain == domain_)
             continue;
-        if (auto const* peer = homes.home_of(group, clock_()))
+        if (auto const* peer = coordinators.home_of(group, clock_()))
         {
-            ++all->open;
-            ask_peer(*peer, last, answered);
+            ++all->pending;
+            request_from_peer(*peer, last, answered);
         }
     }
     answered();
 }
 
-void history_exchange::ask_peer(
+void history_exchange::request_from_peer(
     home_candidate const& peer, request_id const& last,
     std::function<void()> const& done)
 {
     caller_.call(
         peer.address,
-        cbor_request(ask_path, peer.address, {{"last", last.str()}}),
-        options_.patience,
+        cbor_request(chain_path, peer.address, {{"last", last.str()}}),
+        options_.timeout,
         [this, alive = alive_, node = peer.node, done](http_reply const& reply)
         {
             if (!*alive)
                 return;
             auto const answered = reply.answered && reply.status == status_ok;
-            for (auto& [domain, homes] : homes_)
+            for (auto& [domain, coordinators] : domain_coordinators_)
             {
                 if (answered)
-                    homes.answered(node);
+                    coordinators.answered(node);
                 else
-                    homes.did_not_answer(node, clock_());
+                    coordinators.did_not_answer(node, clock_());
             }
             if (answered)
             {
                 for (auto const& one : decode_turns(reply.body))
-                    history_.remember(one);
+                    history_.add_to_cache(one);
             }
             done();
         });
 }
 
-void history_exchange::offer(std::string const& group, turns_type const& turns)
+void history_exchange::announce(
+    std::string const& group, turns_type const& turns)
 {
-    auto const own = homes_.find(domain_);
-    auto const* peer =
-        own == homes_.end() ? nullptr : own->second.home_of(group, clock_());
+    auto const own = domain_coordinators_.find(domain_);
+    auto const* peer = own == domain_coordinators_.end()
+                           ? nullptr
+                           : own->second.home_of(group, clock_());
     if (peer == nullptr)
         return;
-    // Untold, the turn is read from the store.
+    // If the request fails, the turn is read from the store when needed.
     caller_.call(
         peer->address,
-        cbor_request(offer_path, peer->address, encode_turns(turns)),
-        options_.patience, [](http_reply const&) {});
+        cbor_request(announce_path, peer->address, encode_turns(turns)),
+        options_.timeout, [](http_reply const&) {});
 }
 
 bool history_exchange::is_request(std::string_view target)
 {
-    return target == ask_path || target == offer_path;
+    return target == chain_path || target == announce_path;
 }
 
 void history_exchange::serve(
     std::string_view target, std::string_view body,
     std::function<void(int, std::string)> const& reply)
 {
-    if (target == offer_path)
+    if (target == announce_path)
     {
         for (auto const& one : decode_turns(body))
-            history_.remember(one);
+            history_.add_to_cache(one);
         reply(status_ok, {});
         return;
     }
-    auto const asked = json::from_cbor(body, true, false);
-    if (target != ask_path)
+    auto const request = json::from_cbor(body, true, false);
+    if (target != chain_path)
         reply(status_not_found, {});
     else if (
-        !asked.is_object() || !asked.contains("last") ||
-        !asked["last"].is_string())
+        !request.is_object() || !request.contains("last") ||
+        !request["last"].is_string())
         reply(status_bad_request, {});
     else
     {
-        auto const bytes = json::to_cbor(encode_turns(
-            history_.cached(request_id(asked["last"].get<std::string>()))));
+        auto const bytes = json::to_cbor(encode_turns(history_.cached_chain(
+            request_id(request["last"].get<std::string>()))));
         reply(status_ok, std::string(bytes.begin(), bytes.end()));
     }
 }
--- a/src/entry/turn_history.cpp
+++ b/src/entry/turn_history.cpp
@@ -13,20 +13,22 @@
 {
 
 constexpr char const* table_name = "walnutmill-turns";
-/// Bytes of values in one transaction; the platform takes 1 MB with base64
-/// and names, which a value of half of that stays below.
+/// Size of the values at which a transaction is closed. The platform accepts
+/// 1 MB including base64 encoding and names; values of half that size fit.
 constexpr std::size_t transaction_bytes = 500'000;
+
 row_address
-piece_address(request_id const& id, std::size_t way, std::size_t piece)
+chunk_address(request_id const& id, std::size_t candidate, std::size_t chunk)
 {
     return {
-        table_name, turn_history::partition(id, way),
-        turn_history::piece_key(id, piece)};
+        table_name, turn_history::partition(id, candidate),
+        turn_history::piece_key(id, chunk)};
 }
 
-/// The first row says how many pieces follow it.
-std::vector<row_value> rows_of(
-    kept_turn const& turn, std::size_t way, std::size_t row_bytes,
+/// Splits a turn into rows, last chunk first. The row of the first chunk begins
+/// with the header, which contains the number of rows.
+std::vector<row_value> make_rows(
+    kept_turn const& turn, std::size_t candidate, std::size_t row_bytes,
     std::int64_t written_at)
 {
     auto const bytes = encode(turn);
@@ -40,7 +42,8 @@
         {
             value.insert(0, encode_turn_head(pieces, written_at));
         }
-        rows.push_back({piece_address(turn.id, way, i), std::move(value)});
+        rows.push_back(
+            {chunk_address(turn.id, candidate, i), std::move(value)});
     }
     return rows;
 }
@@ -52,21 +55,21 @@
     return table_name;
 }
 
-std::string turn_history::piece_key(request_id const& id, std::size_t piece)
+std::string turn_history::piece_key(request_id const& id, std::size_t chunk)
 {
-    // Slashes don't occur in ids that callers send in hexadecimal; a caller
-    // that uses one only collides with itself.
-    return piece == 0 ? id.str() : id.str() + "/" + std::to_string(piece);
+    // Hexadecimal ids contain no slash. A caller whose ids contain one can only
+    // cause collisions among its own turns.
+    return chunk == 0 ? id.str() : id.str() + "/" + std::to_string(chunk);
 }
 
-std::string turn_history::partition(request_id const& id, std::size_t way)
+std::string turn_history::partition(request_id const& id, std::size_t candidate)
 {
     return partition_of(
-        way == 0 ? id.str() : id.str() + "/" + std::to_string(way));
+        candidate == 0 ? id.str() : id.str() + "/" + std::to_string(candidate));
 }
 
-/// A chain that is being put together.
-struct turn_history::loading
+/// State of loading a chain.
+struct turn_history::chain_load
 {
     turn_ptr last;
     std::vector<turn_ptr> turns;
@@ -75,32 +78,32 @@
     chain_fn done;
 };
 
-/// One turn that is looked for in the store.
-struct turn_history::search
+/// State of looking up one turn in the store.
+struct turn_history::turn_lookup
 {
     request_id id;
     turn_fn done;
-    /// Ways that have not answered.
-    std::size_t open = 0;
-    std::size_t asked = 0;
-    /// A way could not tell, so the turn can't be said to be unknown.
-    bool unsure = false;
-    bool ended = false;
+    /// Candidates that have not answered.
+    std::size_t pending = 0;
+    std::size_t candidates_read = 0;
+    /// The read of a candidate failed, so the turn may exist.
+    bool inconclusive = false;
+    bool finished = false;
 };
 
-/// One turn that is being made durable.
-struct turn_history::keeping
+/// State of writing one turn.
+struct turn_history::turn_write
 {
     turn_ptr turn;
     std::string group;
-    kept_fn done;
-    std::chrono::milliseconds patience{0};
-    std::chrono::milliseconds waited{0};
-    /// The ways in the order in which they are tried.
-    std::array<std::size_t, ways> order{};
-    std::size_t started = 0;
-    std::size_t open = 0;
-    bool ended = false;
+    stored_fn done;
+    std::chrono::milliseconds timeout{0};
+    std::chrono::milliseconds elapsed{0};
+    /// Candidates in the order in which they are tried.
+    std::array<std::size_t, partition_candidates> candidate_order{};
+    std::size_t candidates_tried = 0;
+    std::size_t pending = 0;
+    bool finished = false;
 };
 
 turn_history::turn_history(versioned_store store, history_options options)
@@ -111,7 +114,7 @@
 
 turn_history::~turn_history()
 {
-    // Answers of the store that still come find nobody.
+    // Callbacks of the store that arrive later are ignored.
     *alive_ = false;
 }
 
@@ -120,28 +123,28 @@
     auto const found = cache_.find(id);
     if (found == cache_.end())
         return nullptr;
-    uses_.splice(uses_.end(), uses_, found->second.use);
+    recency_.splice(recency_.end(), recency_, found->second.recency_position);
     return found->second.turn;
 }
 
-void turn_history::remember(turn_ptr turn)
+void turn_history::add_to_cache(turn_ptr turn)
 {
     if (cache_.count(turn->id) > 0)
         return;
     cached_bytes_ += turn->bytes();
-    auto const use = uses_.insert(uses_.end(), turn->id);
+    auto const recency_position = recency_.insert(recency_.end(), turn->id);
     auto const id = turn->id;
-    cache_.emplace(id, cached_turn{std::move(turn), use});
-    while (cached_bytes_ > options_.cache_bytes && uses_.size() > 1)
+    cache_.emplace(id, cached_turn{std::move(turn), recency_position});
+    while (cached_bytes_ > options_.cache_bytes && recency_.size() > 1)
     {
-        auto const oldest = cache_.find(uses_.front());
+        auto const oldest = cache_.find(recency_.front());
         cached_bytes_ -= oldest->second.turn->bytes();
         cache_.erase(oldest);
-        uses_.pop_front();
+        recency_.pop_front();
     }
 }
 
-bool turn_history::has_chain(request_id const& last)
+bool turn_history::has_cached_chain(request_id const& last)
 {
     auto const turn = find(last);
     return turn &&
@@ -150,7 +153,8 @@
                [this](request_id const& one) { return cache_.count(one) > 0; });
 }
 
-std::vector<turn_history::turn_ptr> turn_history::cached(request_id const& last)
+std::vector<turn_history::turn_ptr>
+turn_history::cached_chain(request_id const& last)
 {
     std::vector<turn_ptr> turns;
     auto const turn = find(last);
@@ -168,12 +172,12 @@
 void turn_history::load(
     request_id const& last, chain_fn done, std::string const& group)
 {
-    if (!peers_.ask || group.empty() || has_chain(last))
+    if (!peers_.request_chain || group.empty() || has_cached_chain(last))
     {
         load_from_store(last, std::move(done));
         return;
     }
-    peers_.ask(
+    peers_.request_chain(
         group, last,
         [this, alive = alive_, last, done = std::move(done)]
         {
@@ -184,154 +188,161 @@
 
 void turn_history::load_from_store(request_id const& last, chain_fn done)
 {
-    auto const one = std::make_shared<loading>();
-    one->done = std::move(done);
-    one->last = find(last);
-    if (one->last)
+    auto const load_state = std::make_shared<chain_load>();
+    load_state->done = std::move(done);
+    load_state->last = find(last);
+    if (load_state->last)
     {
-        load_chain(one);
+        load_chain(load_state);
         return;
     }
     fetch(
         last,
-        [this, one](history_answer answer, turn_ptr const& turn)
+        [this, load_state](history_answer answer, turn_ptr const& turn)
         {
             if (answer != history_answer::found)
             {
-                one->done(answer, {});
+                load_state->done(answer, {});
                 return;
             }
-            one->last = turn;
-            load_chain(one);
+            load_state->last = turn;
+            load_chain(load_state);
         });
 }
 
-void turn_history::load_chain(loading_ptr const& one)
+void turn_history::load_chain(chain_load_ptr const& load_state)
 {
-    auto const& ids = one->last->chain;
-    one->turns.resize(ids.size());
-    one->missing = 1;
+    auto const& ids = load_state->last->chain;
+    load_state->turns.resize(ids.size());
+    load_state->missing = 1;
     for (std::size_t i = 0; i < ids.size(); ++i)
     {
-        one->turns[i] = find(ids[i]);
-        if (one->turns[i])
+        load_state->turns[i] = find(ids[i]);
+        if (load_state->turns[i])
             continue;
-        ++one->missing;
+        ++load_state->missing;
         fetch(
             ids[i],
-            [this, one, i](history_answer answer, turn_ptr const& turn)
+            [this, load_state, i](history_answer answer, turn_ptr const& turn)
             {
-                one->turns[i] = turn;
-                // A turn that lost one before it can't go on, whatever the
-                // reason: only the last one's absence is certain.
-                one->failed = one->failed || answer != history_answer::found;
-                one_loaded(one);
+                load_state->turns[i] = turn;
+                // A chain with a missing predecessor can't be continued,
+                // whatever the reason. Only the last turn can be reported as
+                // unknown; a missing predecessor is reported as unavailable.
+                load_state->failed =
+                    load_state->failed || answer != history_answer::found;
+                on_turn_loaded(load_state);
             });
     }
-    one_loaded(one);
+    on_turn_loaded(load_state);
 }
 
-void turn_history::one_loaded(loading_ptr const& one)
+void turn_history::on_turn_loaded(chain_load_ptr const& load_state)
 {
-    if (--one->missing > 0)
+    if (--load_state->missing > 0)
         return;
-    if (one->failed)
+    if (load_state->failed)
     {
-        one->done(history_answer::store_unavailable, {});
+        load_state->done(history_answer::store_unavailable, {});
         return;
     }
     turn_chain chain;
-    chain.ids = one->last->chain;
-    chain.ids.push_back(one->last->id);
-    for (auto const& turn : one->turns)
+    chain.ids = load_state->last->chain;
+    chain.ids.push_back(load_state->last->id);
+    for (auto const& turn : load_state->turns)
         chain.text.append(turn->input).append(turn->output);
-    chain.text.append(one->last->input).append(one->last->output);
-    one->done(history_answer::found, std::move(chain));
+    chain.text.append(load_state->last->input).append(load_state->last->output);
+    load_state->done(history_answer::found, std::move(chain));
 }
 
 void turn_history::fetch(request_id const& id, turn_fn done)
 {
-    auto const one = std::make_shared<search>();
-    one->id = id;
-    one->done = std::move(done);
-    search_way(one, 0);
+    auto const lookup = std::make_shared<turn_lookup>();
+    lookup->id = id;
+    lookup->done = std::move(done);
+    read_candidate(lookup, 0);
 }
 
-void turn_history::search_way(search_ptr const& one, std::size_t way)
+void turn_history::read_candidate(
+    turn_lookup_ptr const& lookup, std::size_t candidate)
 {
-    ++one->asked;
-    ++one->open;
-    auto const at = piece_address(one->id, way, 0);
+    ++lookup->candidates_read;
+    ++lookup->pending;
+    auto const at = chunk_address(lookup->id, candidate, 0);
     store_.read(
-        {at.table, at.partition, at.key, at.key + '\0'}, options_.patience,
-        [this, alive = alive_, one, way](range_result const& result)
+        {at.table, at.partition, at.key, at.key + '\0'}, options_.timeout,
+        [this, alive = alive_, lookup, candidate](range_result const& result)
         {
-            if (*alive && !one->ended)
-                way_searched(one, way, result);
+            if (*alive && !lookup->finished)
+                on_candidate_read(lookup, candidate, result);
         });
 }
 
-void turn_history::way_searched(
-    search_ptr const& one, std::size_t way, range_result const& result)
+void turn_history::on_candidate_read(
+    turn_lookup_ptr const& lookup, std::size_t candidate,
+    range_result const& result)
 {
-    --one->open;
+    --lookup->pending;
     if (result.outcome == store_outcome::done && !result.rows.empty())
     {
-        one->ended = true;
+        lookup->finished = true;
         auto const& value = result.rows.front().value;
         auto const head = decode_turn_head(value);
         if (head)
         {
-            fetch_pieces(
-                one->id, way, value.substr(head->size), head->pieces,
-                one->done);
+            fetch_chunks(
+                lookup->id, candidate, value.substr(head->size), head->pieces,
+                lookup->done);
         }
         else
         {
-            // A turn that can't be read is not said to be unknown.
-            one->done(history_answer::store_unavailable, nullptr);
+            // The turn exists but its header is invalid, so it is not
+            // reported as unknown.
+            lookup->done(history_answer::store_unavailable, nullptr);
         }
         return;
     }
-    one->unsure = one->unsure || result.outcome != store_outcome::done;
-    if (one->asked < ways)
+    lookup->inconclusive =
+        lookup->inconclusive || result.outcome != store_outcome::done;
+    if (lookup->candidates_read < partition_candidates)
     {
-        for (auto other = one->asked; other < ways; ++other)
-            search_way(one, other);
+        for (auto other = lookup->candidates_read; other < partition_candidates;
+             ++other)
+            read_candidate(lookup, other);
         return;
     }
-    if (one->open > 0)
+    if (lookup->pending > 0)
         return;
-    one->ended = true;
-    one->done(
-        one->unsure ? history_answer::store_unavailable
-                    : history_answer::unknown_turn,
+    lookup->finished = true;
+    lookup->done(
+        lookup->inconclusive ? history_answer::store_unavailable
+                             : history_answer::unknown_turn,
         nullptr);
 }
 
-void turn_history::fetch_pieces(
-    request_id const& id, std::size_t way, std::string first,
+void turn_history::fetch_chunks(
+    request_id const& id, std::size_t candidate, std::string first_chunk,
     std::size_t pieces, turn_fn const& done)
 {
-    struct gathered
+    struct chunk_set
     {
-        std::vector<std::string> parts;
+        std::vector<std::string> chunks;
         std::size_t missing = 1;
         bool failed = false;
     };
-    auto const all = std::make_shared<gathered>();
-    all->parts.resize(std::max<std::size_t>(pieces, 1));
-    all->parts[0] = std::move(first);
-    auto const one_done = [this, all, id, done]
+    auto const all = std::make_shared<chunk_set>();
+    all->chunks.resize(std::max<std::size_t>(pieces, 1));
+    all->chunks[0] = std::move(first_chunk);
+    auto const on_chunk_read = [this, all, id, done]
     {
         if (--all->missing > 0)
             return;
         std::string bytes;
-        for (auto const& part : all->parts)
+        for (auto const& part : all->chunks)
             bytes += part;
         auto const turn = all->failed ? nullptr : decode_turn(id, bytes);
         if (turn)
-            remember(turn);
+            add_to_cache(turn);
         done(
             turn ? history_answer::found : history_answer::store_unavailable,
             turn);
@@ -339,109 +350,116 @@
     for (std::size_t i = 1; i < pieces; ++i)
     {
         ++all->missing;
-        auto const at = piece_address(id, way, i);
+        auto const at = chunk_address(id, candidate, i);
         store_.read(
-            {at.table, at.partition, at.key, at.key + '\0'}, options_.patience,
-            [all, i, one_done](range_result const& result)
+            {at.table, at.partition, at.key, at.key + '\0'}, options_.timeout,
+            [all, i, on_chunk_read](range_result const& result)
             {
                 if (result.rows.empty())
                     all->failed = true;
                 else
-                    all->parts[i] = result.rows.front().value;
-                one_done();
+                    all->chunks[i] = result.rows.front().value;
+                on_chunk_read();
             });
     }
-    one_done();
+    on_chunk_read();
 }
 
-bool turn_history::answers(request_id const& id, std::size_t way) const
+bool turn_history::answers(request_id const& id, std::size_t candidate) const
 {
-    return !store_.answers || store_.answers(partition(id, way));
+    return !store_.answers || store_.answers(partition(id, candidate));
 }
 
 void turn_history::keep(
-    kept_turn turn, std::chrono::milliseconds patience, kept_fn done,
+    kept_turn turn, std::chrono::milliseconds timeout, stored_fn done,
     std::string const& group)
 {
-    auto const one = std::make_shared<keeping>();
-    one->turn = std::make_shared<kept_turn const>(std::move(turn));
-    one->group = group;
-    one->done = std::move(done);
-    one->patience = patience;
-    std::iota(one->order.begin(), one->order.end(), std::size_t{0});
+    auto const write = std::make_shared<turn_write>();
+    write->turn = std::make_shared<kept_turn const>(std::move(turn));
+    write->group = group;
+    write->done = std::move(done);
+    write->timeout = timeout;
+    std::iota(
+        write->candidate_order.begin(), write->candidate_order.end(),
+        std::size_t{0});
     std::stable_partition(
-        one->order.begin(), one->order.end(),
-        [this, &one](std::size_t way) { return answers(one->turn->id, way); });
-    keep_way(one);
-    watch(one);
+        write->candidate_order.begin(), write->candidate_order.end(),
+        [this, &write](std::size_t candidate)
+        { return answers(write->turn->id, candidate); });
+    write_candidate(write);
+    schedule_fallback(write);
 }
 
-void turn_history::keep_way(keeping_ptr const& one)
+void turn_history::write_candidate(turn_write_ptr const& write)
 {
-    auto const way = one->order[one->started];
-    ++one->started;
-    ++one->open;
+    auto const candidate = write->candidate_order[write->candidates_tried];
+    ++write->candidates_tried;
+    ++write->pending;
     auto const rows = std::make_shared<std::vector<row_value>>(
-        rows_of(*one->turn, way, options_.row_bytes, options_.utc()));
-    write_pieces(
-        rows, 0, one->patience - one->waited,
-        [this, one](bool durable) { way_kept(one, durable); });
+        make_rows(*write->turn, candidate, options_.row_bytes, options_.utc()));
+    write_chunks(
+        rows, 0, write->timeout - write->elapsed,
+        [this, write](bool durable) { on_candidate_written(write, durable); });
 }
 
-/// Tries another way once the one tried last is known to be silent.
-void turn_history::watch(keeping_ptr const& one)
+/// Periodically checks the candidate tried last and writes to the next one if
+/// the former is unresponsive and the latter responds.
+void turn_history::schedule_fallback(turn_write_ptr const& write)
 {
-    if (!options_.later || one->started >= ways)
+    if (!options_.later || write->candidates_tried >= partition_candidates)
         return;
     options_.later(
-        options_.look_after,
-        [this, alive = alive_, one]
+        options_.fallback_check_interval,
+        [this, alive = alive_, write]
         {
-            if (!*alive || one->ended)
+            if (!*alive || write->finished)
                 return;
-            one->waited += options_.look_after;
-            if (one->waited >= one->patience)
+            write->elapsed += options_.fallback_check_interval;
+            if (write->elapsed >= write->timeout)
                 return;
-            auto const& id = one->turn->id;
-            if (!answers(id, one->order[one->started - 1]) &&
-                answers(id, one->order[one->started]))
-                keep_way(one);
-            watch(one);
+            auto const& id = write->turn->id;
+            if (!answers(
+                    id, write->candidate_order[write->candidates_tried - 1]) &&
+                answers(id, write->candidate_order[write->candidates_tried]))
+                write_candidate(write);
+            schedule_fallback(write);
         });
 }
 
-void turn_history::way_kept(keeping_ptr const& one, bool durable)
+void turn_history::on_candidate_written(
+    turn_write_ptr const& write, bool durable)
 {
-    --one->open;
-    if (one->ended || (!durable && one->open > 0))
+    --write->pending;
+    if (write->finished || (!durable && write->pending > 0))
         return;
-    one->ended = true;
+    write->finished = true;
     if (durable)
     {
-        remember(one->turn);
-        if (peers_.offer && !one->group.empty())
-            peers_.offer(one->group, one->turn);
+        add_to_cache(write->turn);
+        if (peers_.announce && !write->group.empty())
+            peers_.announce(write->group, write->turn);
     }
-    one->done(durable);
+    write->done(durable);
 }
 
-/// The first piece is written last: once it stands, all do.
-void turn_history::write_pieces(
+/// Writes the first chunk last, so that its presence implies that all chunks
+/// are present.
+void turn_history::write_chunks(
     std::shared_ptr<std::vector<row_value>> const& rows, std::size_t from,
-    std::chrono::milliseconds patience, kept_fn done)
+    std::chrono::milliseconds timeout, stored_fn done)
 {
-    row_transaction one;
+    row_transaction transaction;
     std::size_t bytes = 0;
     auto next = from;
     while (next < rows->size() && bytes < transaction_bytes)
     {
         bytes += (*rows)[next].value.size();
-        one.writes.push_back((*rows)[next]);
+        transaction.writes.push_back((*rows)[next]);
         ++next;
     }
     store_.commit(
-        std::move(one), patience,
-        [this, alive = alive_, rows, next, patience,
+        std::move(transaction), timeout,
+        [this, alive = alive_, rows, next, timeout,
          done = std::move(done)](transaction_result const& result)
         {
             if (!*alive)
@@ -449,7 +467,7 @@
             if (result.outcome != store_outcome::done)
                 done(false);
             else if (next < rows->size())
-                write_pieces(rows, next, patience, done);
+                write_chunks(rows, next, timeout, done);
             else
                 done(true);
         });
--- a/src/entry/turn_record.cpp
+++ b/src/entry/turn_record.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Kept turns as bytes, in rows and between nodes.
+/// Binary encoding of turns, in rows of the store and between nodes.
 
 #include <walnutmill/turn_history.hpp>
 
@@ -13,32 +13,33 @@
 {
 
 using nlohmann::json;
-using bytes_type = json::binary_t;
+using binary_type = json::binary_t;
 
-/// Overhead of a cached turn beside its text, from the size of its parts.
-constexpr std::size_t turn_overhead = 256;
+/// Memory of a cached turn besides its text and chain, derived from the sizes
+/// of its members.
+constexpr std::size_t turn_overhead_bytes = 256;
 
 json binary(std::string const& text)
 {
-    return json::binary(bytes_type::container_type(text.begin(), text.end()));
+    return json::binary(binary_type::container_type(text.begin(), text.end()));
 }
 
-std::string text_of(json const& value)
+std::string binary_to_string(json const& value)
 {
     auto const& bytes = value.get_binary();
     return {bytes.begin(), bytes.end()};
 }
 
-/// Starts the first row of a turn, so that no piece of another is taken for
-/// one.
-constexpr std::string_view head_mark = "turn";
+/// Marks the first row of a turn, so that a later chunk is not mistaken for a
+/// first row.
+constexpr std::string_view header_tag = "turn";
 
 } // namespace
 
 std::size_t kept_turn::bytes() const
 {
     constexpr std::size_t id_bytes = 48;
-    return turn_overhead + chain.size() * id_bytes + input.size() +
+    return turn_overhead_bytes + chain.size() * id_bytes + input.size() +
            output.size();
 }
 
@@ -60,17 +61,18 @@
     try
     {
         auto const body = json::from_cbor(bytes.begin(), bytes.end());
-        auto to = std::make_shared<kept_turn>();
-        to->id = id;
+        auto result = std::make_shared<kept_turn>();
+        result->id = id;
         for (auto const& one : body.at("chain"))
-            to->chain.emplace_back(one.get<std::string>());
-        to->input = text_of(body.at("input"));
-        to->output = text_of(body.at("output"));
-        return to;
+            result->chain.emplace_back(one.get<std::string>());
+        result->input = binary_to_string(body.at("input"));
+        result->output = binary_to_string(body.at("output"));
+        return result;
     }
     catch (json::exception const&)
     {
-        // Callers answer that they can't tell, and come back.
+        // The caller reports the store as unavailable, and the request is
+        // retried.
         return nullptr;
     }
 }
@@ -79,18 +81,18 @@
 {
     auto const line = value.substr(0, value.find('\n'));
     std::istringstream in{std::string(line)};
-    std::string mark;
-    turn_head to;
+    std::string tag;
+    turn_head result;
     if (line.size() == value.size() ||
-        !(in >> mark >> to.pieces >> to.written_at) || mark != head_mark)
+        !(in >> tag >> result.pieces >> result.written_at) || tag != header_tag)
         return std::nullopt;
-    to.size = line.size() + 1;
-    return to;
+    result.size = line.size() + 1;
+    return result;
 }
 
 std::string encode_turn_head(std::size_t pieces, std::int64_t written_at)
 {
-    return std::string(head_mark) + " " + std::to_string(pieces) + " " +
+    return std::string(header_tag) + " " + std::to_string(pieces) + " " +
            std::to_string(written_at) + "\n";
 }
 
--- a/test/turn_history-test.cpp
+++ b/test/turn_history-test.cpp
@@ -38,7 +38,8 @@
         turn.output = std::move(output);
         bool durable = false;
         node->keep(
-            std::move(turn), seconds(1), [&](bool kept) { durable = kept; });
+            std::move(turn), seconds(1),
+            [&](bool stored) { durable = stored; });
         store.run();
         return durable;
     }
@@ -72,7 +73,8 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: a chain is found by a node that never saw it")
+    history_fixture,
+    "history: a chain is loaded by a node that has none of it cached")
 {
     REQUIRE(keep("a", {}, "in1 ", "out1\n"));
     REQUIRE(keep("b", {"a"}, "in2 ", "out2\n"));
@@ -84,7 +86,7 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: two turns may go on from the same one")
+    history_fixture, "history: two turns may continue the same turn")
 {
     REQUIRE(keep("a", {}, "in1 ", "out1\n"));
     REQUIRE(keep("b", {"a"}, "left ", "l\n"));
@@ -95,7 +97,7 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: a turn larger than a row comes back whole")
+    history_fixture, "history: a turn larger than a row is loaded completely")
 {
     std::string const large(1'300'000, 'x');
     REQUIRE(keep("a", {}, large + "end", "out\n"));
@@ -107,7 +109,8 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: an unknown turn is told from a lost store")
+    history_fixture,
+    "history: an unknown turn is distinguished from an unavailable store")
 {
     CHECK(load("nowhere").first == history_answer::unknown_turn);
     store.set_down(true);
@@ -115,7 +118,8 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: a turn is durable only once the store says so")
+    history_fixture,
+    "history: a turn is durable only once the store confirms it")
 {
     for (auto const fault :
          {store_fault::refuse, store_fault::lose, store_fault::late})
@@ -126,8 +130,7 @@
     }
 }
 
-TEST_CASE_METHOD(
-    history_fixture, "history: a missing piece is never passed over")
+TEST_CASE_METHOD(history_fixture, "history: a missing chunk fails the load")
 {
     REQUIRE(keep("a", {}, std::string(100'000, 'x'), "out\n"));
     for (std::size_t step = 1; step <= 3; ++step)
@@ -138,7 +141,8 @@
     }
 }
 
-TEST_CASE_METHOD(history_fixture, "history: the cache stays within its bytes")
+TEST_CASE_METHOD(
+    history_fixture, "history: the cache stays within its size limit")
 {
     history_options options;
     options.cache_bytes = 50'000;
@@ -153,30 +157,31 @@
 namespace
 {
 
-/// A store of which some partitions are silent: calls to them never end.
-struct silent_partitions_fixture : history_fixture
+/// A store with unresponsive partitions: commits to them never complete and
+/// reads fail.
+struct unresponsive_partitions_fixture : history_fixture
 {
-    std::set<std::string> silent;
+    std::set<std::string> unresponsive;
     std::vector<std::function<void()>> timers;
 
     versioned_store calls()
     {
         auto to = store.calls();
         to.answers = [this](std::string const& partition)
-        { return silent.count(partition) == 0; };
+        { return unresponsive.count(partition) == 0; };
         to.commit = [this, commit = to.commit](
-                        row_transaction one, std::chrono::milliseconds patience,
+                        row_transaction one, std::chrono::milliseconds timeout,
                         std::function<void(transaction_result)> done)
         {
-            if (silent.count(one.writes.front().at.partition) == 0)
-                commit(std::move(one), patience, std::move(done));
+            if (unresponsive.count(one.writes.front().at.partition) == 0)
+                commit(std::move(one), timeout, std::move(done));
         };
         to.read = [this, read = to.read](
-                      row_range range, std::chrono::milliseconds patience,
+                      row_range range, std::chrono::milliseconds timeout,
                       std::function<void(range_result)> done)
         {
-            if (silent.count(range.partition) == 0)
-                read(std::move(range), patience, std::move(done));
+            if (unresponsive.count(range.partition) == 0)
+                read(std::move(range), timeout, std::move(done));
             else
                 done({});
         };
@@ -192,12 +197,12 @@
         node = std::make_unique<turn_history>(calls(), options);
     }
 
-    void silence(std::string const& id, std::size_t way)
+    void make_unresponsive(std::string const& id, std::size_t candidate)
     {
-        silent.insert(turn_history::partition(request_id(id), way));
+        unresponsive.insert(turn_history::partition(request_id(id), candidate));
     }
 
-    bool kept_now(std::string const& id)
+    bool store_turn_after_timers(std::string const& id)
     {
         bool durable = false;
         kept_turn turn;
@@ -205,7 +210,8 @@
         turn.input = "in ";
         turn.output = "out\n";
         node->keep(
-            std::move(turn), seconds(3), [&](bool kept) { durable = kept; });
+            std::move(turn), seconds(3),
+            [&](bool stored) { durable = stored; });
         store.run();
         auto due = std::move(timers);
         timers.clear();
@@ -218,35 +224,36 @@
 
 } // namespace
 
-// While 29 in 100 partitions are away 29 in 100 turns could not be kept; now 2
-// or 3 can't. The bound is what three independent partitions give.
+// Guards against losing turns while partitions are unavailable. With 29 of 100
+// partitions unavailable, a single candidate partition loses 29 of 100 turns;
+// three independent candidates lose 2 or 3.
 TEST_CASE_METHOD(
-    silent_partitions_fixture,
-    "history: turns are kept while a part of the partitions is away")
+    unresponsive_partitions_fixture,
+    "history: turns are stored while some partitions are unavailable")
 {
     for (int i = 0; i < 19; ++i)
-        silent.insert("p" + std::to_string(i));
+        unresponsive.insert("p" + std::to_string(i));
     start_node();
     constexpr int turns = 500;
-    int kept = 0;
+    int stored = 0;
     for (int i = 0; i < turns; ++i)
-        kept += kept_now("t" + std::to_string(i)) ? 1 : 0;
-    CHECK(kept >= turns * 95 / 100);
-    // All nodes find them, during the outage and after it.
+        stored += store_turn_after_timers("t" + std::to_string(i)) ? 1 : 0;
+    CHECK(stored >= turns * 95 / 100);
+    // Other nodes find the stored turns during the outage and after it.
     start_node();
     for (int i = 0; i < turns; ++i)
-        kept -= load("t" + std::to_string(i)).first == history_answer::found
-                    ? 1
-                    : 0;
-    CHECK(kept == 0);
-    silent.clear();
+        stored -= load("t" + std::to_string(i)).first == history_answer::found
+                      ? 1
+                      : 0;
+    CHECK(stored == 0);
+    unresponsive.clear();
     start_node();
     CHECK(load("t0").first == history_answer::found);
 }
 
 TEST_CASE_METHOD(
-    silent_partitions_fixture,
-    "history: a partition that falls silent meanwhile is left for another")
+    unresponsive_partitions_fixture,
+    "history: a write falls back when its partition becomes unresponsive")
 {
     start_node();
     bool durable = false;
@@ -254,53 +261,55 @@
     turn.id = request_id("a");
     turn.output = "out\n";
     auto const usual = turn_history::partition(turn.id, 0);
-    auto silent_later = calls();
-    // Known to be silent only by the time of the first look.
-    bool known = false;
-    silent_later.answers = [&](std::string const& partition)
-    { return !known || partition != usual; };
-    silent.insert(usual);
+    auto unresponsive_store = calls();
+    // The partition is reported as unresponsive only from the first check on.
+    bool reported = false;
+    unresponsive_store.answers = [&](std::string const& partition)
+    { return !reported || partition != usual; };
+    unresponsive.insert(usual);
     history_options options;
     options.later =
         [this](std::chrono::milliseconds, std::function<void()> what)
     { timers.push_back(std::move(what)); };
-    node = std::make_unique<turn_history>(silent_later, options);
-    node->keep(std::move(turn), seconds(3), [&](bool kept) { durable = kept; });
+    node = std::make_unique<turn_history>(unresponsive_store, options);
+    node->keep(
+        std::move(turn), seconds(3), [&](bool stored) { durable = stored; });
     store.run();
     CHECK_FALSE(durable);
-    known = true;
+    reported = true;
     timers.at(0)();
     store.run();
     CHECK(durable);
 }
 
 TEST_CASE_METHOD(
-    silent_partitions_fixture,
-    "history: a turn is unknown only where no partition may hold it")
+    unresponsive_partitions_fixture,
+    "history: a turn is unknown only if no partition can hold it")
 {
-    silence("gone", 2);
+    make_unresponsive("gone", 2);
     start_node();
     CHECK(load("gone").first == history_answer::store_unavailable);
-    silent.clear();
+    unresponsive.clear();
     CHECK(load("gone").first == history_answer::unknown_turn);
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: a chain that a peer has takes no read")
+    history_fixture,
+    "history: a chain cached by a peer takes no read of the store")
 {
     REQUIRE(keep("a", {}, "in1 ", "out1\n"));
     REQUIRE(keep("b", {"a"}, "in2 ", "out2\n"));
-    auto const peers_turns = node->cached(request_id("b"));
+    auto const peers_turns = node->cached_chain(request_id("b"));
     CHECK(peers_turns.size() == 2);
     node = start();
     history_peers peers;
-    peers.ask = [&](std::string const& group, request_id const& last,
-                    std::function<void()> const& done)
+    peers.request_chain = [&](std::string const& group, request_id const& last,
+                              std::function<void()> const& done)
     {
         CHECK(group == "program");
         CHECK(last.str() == "b");
         for (auto const& one : peers_turns)
-            node->remember(one);
+            node->add_to_cache(one);
         done();
     };
     node->set_peers(peers);
@@ -315,12 +324,12 @@
 }
 
 TEST_CASE_METHOD(
-    history_fixture, "history: peers hear of a turn only once it is durable")
+    history_fixture, "history: peers receive a turn only once it is durable")
 {
-    int told = 0;
+    int announced = 0;
     history_peers peers;
-    peers.offer = [&](std::string const&, turn_history::turn_ptr const&)
-    { ++told; };
+    peers.announce = [&](std::string const&, turn_history::turn_ptr const&)
+    { ++announced; };
     node->set_peers(peers);
     store.fail_step(1, store_fault::lose);
     for (int i = 0; i < 2; ++i)
@@ -330,6 +339,6 @@
         node->keep(
             std::move(turn), seconds(1), [](bool) {}, "program");
         store.run();
-        CHECK(told == i);
+        CHECK(announced == i);
     }
 }
