--- a/src/entry/cluster_section.cpp
+++ b/src/entry/cluster_section.cpp
@@ -14,8 +14,8 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-/// Place of the time since the newest reading in a told section.
-constexpr std::size_t whole_age_at = 4;
+/// Index of the read start age in an encoded peer section.
+constexpr std::size_t read_start_age_index = 4;
 
 std::string to_bytes(json const& body)
 {
@@ -29,14 +29,14 @@
         json::binary_t::container_type(bytes.begin(), bytes.end()));
 }
 
-/// \throws json::exception where it is no byte string
+/// \throws json::exception if the value is not a byte string
 std::string text_of(json const& one)
 {
     auto const& bytes = one.get_binary();
     return {bytes.begin(), bytes.end()};
 }
 
-/// Decodes bytes of another node, which may be of another version.
+/// Decodes bytes from another node, which may run another version.
 template<class Value, class Decode>
 std::optional<Value> decode_bytes(std::string_view bytes, Decode const& decode)
 {
@@ -46,34 +46,34 @@
     }
     catch (json::exception const&)
     {
-        // The caller logs it and reads the store itself.
+        // The caller logs the failure and reads the store itself.
         return std::nullopt;
     }
 }
 
 engine_entry engine_of(json const& one)
 {
-    engine_entry to;
-    to.id = target_name(one.at(0).get<std::string>());
-    to.service = service_name(one.at(1).get<std::string>());
-    to.address = one.at(2).get<std::string>();
-    to.zone = zone_name(one.at(3).get<std::string>());
-    to.slots = one.at(4).get<std::uint32_t>();
-    to.state =
+    engine_entry entry;
+    entry.id = target_name(one.at(0).get<std::string>());
+    entry.service = service_name(one.at(1).get<std::string>());
+    entry.address = one.at(2).get<std::string>();
+    entry.zone = zone_name(one.at(3).get<std::string>());
+    entry.slots = one.at(4).get<std::uint32_t>();
+    entry.state =
         one.at(5).get<bool>() ? engine_state::ready : engine_state::draining;
-    to.incarnation.started_at_ms = one.at(6).get<std::int64_t>();
-    return to;
+    entry.incarnation.started_at_ms = one.at(6).get<std::int64_t>();
+    return entry;
 }
 
 entry_member member_of(json const& one)
 {
-    entry_member to;
-    to.node = one.at(0).get<std::string>();
-    to.address = one.at(1).get<std::string>();
-    to.domain = one.at(2).get<std::string>();
-    to.incarnation = one.at(3).get<std::string>();
-    to.strength = one.at(4).get<double>();
-    return to;
+    entry_member member;
+    member.node = one.at(0).get<std::string>();
+    member.address = one.at(1).get<std::string>();
+    member.domain = one.at(2).get<std::string>();
+    member.incarnation = one.at(3).get<std::string>();
+    member.strength = one.at(4).get<double>();
+    return member;
 }
 
 } // namespace
@@ -115,10 +115,10 @@
         bytes,
         [](json const& body)
         {
-            std::vector<engine_entry> to;
+            std::vector<engine_entry> engines;
             for (auto const& one : body)
-                to.push_back(engine_of(one));
-            return to;
+                engines.push_back(engine_of(one));
+            return engines;
         });
 }
 
@@ -141,10 +141,10 @@
         bytes,
         [](json const& body)
         {
-            std::vector<entry_member> to;
+            std::vector<entry_member> members;
             for (auto const& one : body)
-                to.push_back(member_of(one));
-            return to;
+                members.push_back(member_of(one));
+            return members;
         });
 }
 
@@ -166,14 +166,14 @@
         bytes,
         [](json const& body)
         {
-            section_query to;
-            for (std::size_t i = 0; i < cluster_tables; ++i)
-                to.digests[i] = body.at(i).get<std::uint64_t>();
-            return to;
+            section_query query;
+            for (std::size_t i = 0; i < cluster_table_count; ++i)
+                query.digests[i] = body.at(i).get<std::uint64_t>();
+            return query;
         });
 }
 
-std::string encode(told_sections const& sections)
+std::string encode(peer_sections const& sections)
 {
     auto body = json::array();
     for (auto const& one : sections)
@@ -181,60 +181,63 @@
         body.push_back(json::array(
             {one.as_of, one.age.count(), one.digest,
              one.bytes ? binary_of(*one.bytes) : json(),
-             one.whole_age ? json(one.whole_age->count()) : json()}));
+             one.read_start_age ? json(one.read_start_age->count()) : json()}));
     }
     return to_bytes(body);
 }
 
-std::optional<told_sections> decode_told_sections(std::string_view bytes)
+std::optional<peer_sections> decode_peer_sections(std::string_view bytes)
 {
-    return decode_bytes<told_sections>(
+    return decode_bytes<peer_sections>(
         bytes,
         [](json const& body)
         {
-            told_sections to;
-            for (std::size_t i = 0; i < cluster_tables; ++i)
+            peer_sections sections;
+            for (std::size_t i = 0; i < cluster_table_count; ++i)
             {
                 auto const& one = body.at(i);
-                to[i].as_of = one.at(0).get<std::uint64_t>();
-                to[i].age = milliseconds(one.at(1).get<std::int64_t>());
-                to[i].digest = one.at(2).get<std::uint64_t>();
+                sections[i].as_of = one.at(0).get<std::uint64_t>();
+                sections[i].age = milliseconds(one.at(1).get<std::int64_t>());
+                sections[i].digest = one.at(2).get<std::uint64_t>();
                 if (!one.at(3).is_null())
-                    to[i].bytes = text_of(one.at(3));
-                // Nodes of an earlier version leave it out.
-                if (one.size() > whole_age_at && !one[whole_age_at].is_null())
+                    sections[i].bytes = text_of(one.at(3));
+                // Nodes of an earlier version omit this field.
+                if (one.size() > read_start_age_index &&
+                    !one[read_start_age_index].is_null())
                 {
-                    to[i].whole_age =
-                        milliseconds(one[whole_age_at].get<std::int64_t>());
+                    sections[i].read_start_age = milliseconds(
+                        one[read_start_age_index].get<std::int64_t>());
                 }
             }
-            return to;
+            return sections;
         });
 }
 
-std::optional<told_sections> answer_query(
+std::optional<peer_sections> answer_query(
     section_query const& query, cluster_sections const& known, time_point now,
     time_point boot_now)
 {
-    told_sections to;
-    for (std::size_t i = 0; i < cluster_tables; ++i)
+    peer_sections answer;
+    for (std::size_t i = 0; i < cluster_table_count; ++i)
     {
         auto const& one = known[i];
         if (!one.known())
             return std::nullopt;
-        to[i].as_of = one.as_of;
-        to[i].age = std::chrono::duration_cast<milliseconds>(now - one.read_at);
-        to[i].digest = one.digest;
+        answer[i].as_of = one.as_of;
+        answer[i].age =
+            std::chrono::duration_cast<milliseconds>(now - one.read_at);
+        answer[i].digest = one.digest;
         if (one.digest != query.digests[i])
-            to[i].bytes = one.bytes;
-        // Rounded up: a reading must not look newer than it is.
-        if (one.whole_at != time_point{} && boot_now >= one.whole_at)
+            answer[i].bytes = one.bytes;
+        // Rounded up so that a read never looks newer than it is.
+        if (one.read_started_at != time_point{} &&
+            boot_now >= one.read_started_at)
         {
-            to[i].whole_age =
-                std::chrono::ceil<milliseconds>(boot_now - one.whole_at);
+            answer[i].read_start_age =
+                std::chrono::ceil<milliseconds>(boot_now - one.read_started_at);
         }
     }
-    return to;
+    return answer;
 }
 
 } // namespace walnutmill
--- a/src/entry/cluster_section.hpp
+++ b/src/entry/cluster_section.hpp
@@ -2,14 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_CLUSTER_SECTION_HPP
 
 /// \file
-/// The tables of the cluster's state as one node read them, in the form in
-/// which it passes them on to other nodes.
+/// Snapshots of the cluster's state tables and the encoding in which nodes
+/// forward them to each other.
 ///
-/// Load pattern: all nodes need the configuration, the engines and the members
-/// a few times within the bounds of a change. Read by each of 295 nodes the
-/// bytes grow with nodes times rows; read by one node of a failure domain they
-/// grow with domains times rows, and unchanged tables cost the others a few
-/// bytes. A feed of the store returns each heartbeat of each engine.
+/// Load pattern: all nodes read the configuration, the engines and the members
+/// several times within the time in which a change must take effect. If each of
+/// 295 nodes read the store, the bytes would grow with nodes times rows. With
+/// one reader per failure domain they grow with domains times rows, and an
+/// unchanged table costs a follower a few bytes. A change feed of the store
+/// would return every heartbeat of every engine.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/routing_table.hpp>
@@ -26,20 +27,20 @@
 namespace walnutmill
 {
 
-/// Another entry node, as it registered itself.
+/// An entry node as registered in the store.
 struct entry_member
 {
     std::string node;
-    /// IP:PORT for other nodes.
+    /// IP:PORT at which other nodes reach it.
     std::string address;
     std::string domain;
-    /// Names this process among all that the node ever had.
+    /// Identifies this process among all processes the node has run.
     std::string incarnation;
-    /// Processor share in cores; 0: not stated.
+    /// Capacity weight: processor share in cores. 0: not stated.
     double strength = 0;
 };
 
-/// The configuration's row.
+/// The configuration's row in the store.
 struct configuration_row
 {
     std::uint64_t version = 0;
@@ -49,7 +50,8 @@
 std::string encode(configuration_row const& one);
 std::string encode(std::vector<engine_entry> const& engines);
 std::string encode(std::vector<entry_member> const& members);
-/// \return empty where the bytes have another form; the same holds below.
+/// \return empty if the bytes are malformed, as for every decode function
+/// below.
 std::optional<configuration_row> decode_configuration_row(std::string_view);
 std::optional<std::vector<engine_entry>> decode_engine_list(std::string_view);
 std::optional<std::vector<entry_member>> decode_member_list(std::string_view);
@@ -60,61 +62,61 @@
     engines,
     members
 };
-constexpr std::size_t cluster_tables = 3;
+constexpr std::size_t cluster_table_count = 3;
 
-/// A table at one moment. Of two readings the one with the higher version is
+/// Snapshot of one table. Of two snapshots the one with the higher version is
 /// the newer, whichever nodes read them.
 struct cluster_section
 {
-    /// The store's version that the table was read at.
+    /// The store's version at which the table was read.
     std::uint64_t as_of = 0;
-    /// The epoch: never read.
+    /// The epoch if the table was never read.
     time_point read_at{};
     std::string bytes;
     /// Hash of the bytes.
     std::uint64_t digest = 0;
-    /// When the newest reading that holds began, by a clock that counts the
-    /// time in which the machine was suspended; the epoch: not known.
-    time_point whole_at{};
+    /// When the newest read that confirms this snapshot began, on a clock that
+    /// counts suspended time. The epoch: not known.
+    time_point read_started_at{};
 
     bool known() const { return read_at != time_point{}; }
 };
 
-using cluster_sections = std::array<cluster_section, cluster_tables>;
+using cluster_sections = std::array<cluster_section, cluster_table_count>;
 
 cluster_section
 make_section(std::uint64_t as_of, time_point read_at, std::string bytes);
 
-/// Asks for the tables that differ from the digests.
+/// Requests the tables whose digests differ from these.
 struct section_query
 {
-    std::array<std::uint64_t, cluster_tables> digests{};
+    std::array<std::uint64_t, cluster_table_count> digests{};
 };
 
-/// A table as told to another node.
-struct told_section
+/// Snapshot of one table as reported to another node.
+struct peer_section
 {
     std::uint64_t as_of = 0;
-    /// Time since it was read.
+    /// Time since the table was read.
     std::chrono::milliseconds age{0};
     std::uint64_t digest = 0;
-    /// Empty: as the query's digest says.
+    /// Empty: unchanged from the query's digest.
     std::optional<std::string> bytes;
-    /// Time since the newest reading began; empty: not known.
-    std::optional<std::chrono::milliseconds> whole_age{};
+    /// Time since the newest read began. Empty: not known.
+    std::optional<std::chrono::milliseconds> read_start_age{};
 };
 
-using told_sections = std::array<told_section, cluster_tables>;
+using peer_sections = std::array<peer_section, cluster_table_count>;
 
 std::string encode(section_query const& one);
-std::string encode(told_sections const& sections);
+std::string encode(peer_sections const& sections);
 std::optional<section_query> decode_section_query(std::string_view);
-std::optional<told_sections> decode_told_sections(std::string_view);
+std::optional<peer_sections> decode_peer_sections(std::string_view);
 
-/// \return what a node with these sections answers; empty while it has not
+/// \return the answer of a node that holds these sections. Empty until it has
 /// read all tables.
-/// \param boot_now by the clock of cluster_section::whole_at
-std::optional<told_sections> answer_query(
+/// \param boot_now on the clock of cluster_section::read_started_at
+std::optional<peer_sections> answer_query(
     section_query const& query, cluster_sections const& known, time_point now,
     time_point boot_now = {});
 
--- a/src/entry/member_roster.cpp
+++ b/src/entry/member_roster.cpp
@@ -14,39 +14,40 @@
 
 using nlohmann::json;
 
-/// A member counts until its row, renewed every 3 s, has not changed for this
-/// long.
-constexpr std::chrono::milliseconds gone_after{10'000};
-/// Cores above which a stated strength is no machine's.
-constexpr double most_cores = 1'024;
+/// A member is dropped once its row, renewed every 3 s, has not changed for
+/// this long.
+constexpr std::chrono::milliseconds member_expiry{10'000};
+/// A larger stated strength is implausible for a machine and is ignored.
+constexpr double max_cores = 1'024;
 
-/// \return 0 where none is stated, or none that a machine has.
+/// \return the strength in cores. 0 if it is missing or implausible.
 double strength_of(json const& body)
 {
     auto const found = body.find("strength");
     if (found == body.end() || !found->is_number())
         return 0;
     auto const cores = found->get<double>();
-    return std::isfinite(cores) && cores > 0 && cores <= most_cores ? cores : 0;
+    return std::isfinite(cores) && cores > 0 && cores <= max_cores ? cores : 0;
 }
 
-/// \return empty where the row is no member's.
+/// \return empty if the row does not decode to a member.
 std::optional<entry_member> decode_member(stored_row const& row)
 {
     auto const body = json::from_cbor(row.value, true, false);
-    entry_member to;
-    to.node = row.at.key;
+    entry_member member;
+    member.node = row.at.key;
     for (auto const& [field, value] :
-         {std::pair("address", &to.address), std::pair("domain", &to.domain),
-          std::pair("incarnation", &to.incarnation)})
+         {std::pair("address", &member.address),
+          std::pair("domain", &member.domain),
+          std::pair("incarnation", &member.incarnation)})
     {
         if (!body.is_object() || !body.contains(field) ||
             !body[field].is_string())
             return std::nullopt;
         *value = body[field].get<std::string>();
     }
-    to.strength = strength_of(body);
-    return to;
+    member.strength = strength_of(body);
+    return member;
 }
 
 } // namespace
@@ -62,7 +63,7 @@
 }
 
 std::vector<entry_member>
-member_roster::live(std::vector<stored_row> const& rows, time_point now)
+member_roster::live_members(std::vector<stored_row> const& rows, time_point now)
 {
     std::unordered_map<std::string, known_row> seen;
     std::vector<entry_member> members;
@@ -75,17 +76,17 @@
                              : known_row{row.version, now};
         seen.emplace(row.at.key, one);
         auto member = decode_member(row);
-        if (!member || now - one.changed_at >= gone_after)
+        if (!member || now - one.changed_at >= member_expiry)
             continue;
         if (is_new && member->strength == 0)
-            log_unstated(*member);
+            log_missing_strength(*member);
         members.push_back(std::move(*member));
     }
     rows_ = std::move(seen);
     return members;
 }
 
-void member_roster::log_unstated(entry_member const& one) const
+void member_roster::log_missing_strength(entry_member const& one) const
 {
     log_.write(
         line_weight::important, "member.strength_unstated",
--- a/src/entry/member_roster.hpp
+++ b/src/entry/member_roster.hpp
@@ -2,7 +2,7 @@
 #define WALNUTMILL_SRC_ENTRY_MEMBER_ROSTER_HPP
 
 /// \file
-/// Which nodes are up, from readings of the rows that they renew.
+/// Determines which nodes are alive from the rows that they renew in the store.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/versioned_store.hpp>
@@ -26,9 +26,9 @@
     explicit member_roster(line_log& log) : log_(log) {}
 
     /// \param rows in the order of their keys
-    /// \return members whose rows were renewed lately, in that order
+    /// \return members whose rows were renewed recently, in the same order
     std::vector<entry_member>
-    live(std::vector<stored_row> const& rows, time_point now);
+    live_members(std::vector<stored_row> const& rows, time_point now);
 
 private:
     struct known_row
@@ -37,7 +37,7 @@
         time_point changed_at{};
     };
 
-    void log_unstated(entry_member const& one) const;
+    void log_missing_strength(entry_member const& one) const;
 
     line_log& log_;
     std::unordered_map<std::string, known_row> rows_;
--- a/src/entry/platform_view.cpp
+++ b/src/entry/platform_view.cpp
@@ -17,51 +17,52 @@
 using std::chrono::milliseconds;
 
 constexpr char const* members_table = "walnutmill-nodes";
-/// Apart from the partition that engines and the operator write: 295 members
-/// beside 167 engines renew more rows a second than one partition takes.
+/// Separate from the partition that engines and the operator write: 295
+/// members and 167 engines renew more rows per second than one partition
+/// accepts.
 constexpr char const* members_partition = "members";
-/// Time for each member over which all write their rows at once.
-constexpr double write_per_member_ms = 6;
-/// The duty of reading for a failure domain.
+/// Writes of all members at once are spread over this time per member.
+constexpr double write_spread_per_member_ms = 6;
+/// Key by which the reader of a failure domain is selected.
 constexpr char const* reader_key = "cluster-reader";
-/// Interval between renewals of a node's row.
-constexpr milliseconds renew_every{3'000};
-/// Intervals between readings of the members, and between questions to the
-/// reader, for a while after a start: nodes that lost power together write
-/// their rows anew within a second, and until that is known what their former
-/// selves had reserved keeps programs waiting.
-constexpr milliseconds first_readings{1'000};
-constexpr milliseconds first_readings_for_others{300};
-constexpr milliseconds first_questions{200};
-constexpr milliseconds first_readings_for{6'000};
-/// Longest wait for one reading: the next one starts it anew.
-constexpr milliseconds read_patience{900};
-/// Longest wait for the write of a node's row, and the pause after one that
-/// failed: a partition takes 200 transactions a second, one after another.
-constexpr milliseconds write_patience{2'000};
-constexpr milliseconds write_pause{1'500};
-/// A node that was asked within this time reads for others, twice as often.
-constexpr milliseconds asked_lately{3'000};
-/// Intervals between readings after which a node reads the configuration
-/// itself, whoever tells it of others.
-constexpr int lapsing_after = 2;
-/// Intervals between readings that a reading of another node may be old.
-constexpr double oldest_reading = 1.5;
+constexpr milliseconds row_renewal_interval{3'000};
+/// Intervals between reads of the members, and between queries to the reader,
+/// during the startup period. Nodes that lost power together rewrite their rows
+/// within a second. Until the new rows are read, budgets reserved by their
+/// former incarnations keep programs waiting.
+constexpr milliseconds startup_read_interval{1'000};
+constexpr milliseconds startup_reader_read_interval{300};
+constexpr milliseconds startup_query_interval{200};
+constexpr milliseconds startup_period{6'000};
+/// Timeout of one read. The next scheduled read retries it.
+constexpr milliseconds read_timeout{900};
+/// Timeout of the write of a node's row, and the delay before a failed one is
+/// retried. A partition processes 200 transactions per second, serially.
+constexpr milliseconds write_timeout{2'000};
+constexpr milliseconds write_retry_delay{1'500};
+/// A node that received a query within this time acts as a reader and polls
+/// twice as often.
+constexpr milliseconds recent_query_window{3'000};
+/// Staleness of the configuration, in read intervals, above which a node reads
+/// it from the store even while it follows a reader.
+constexpr int lapse_after_intervals = 2;
+/// Maximum age of another node's read, in read intervals.
+constexpr double max_read_age_intervals = 1.5;
 
 home_options reader_options(entry_member const& self)
 {
-    home_options to;
-    to.own_strength = self.strength;
-    to.strength_power = single_duty_power;
-    return to;
+    home_options options;
+    options.own_strength = self.strength;
+    options.strength_power = single_duty_power;
+    return options;
 }
 
 std::uint64_t as_of(range_result const& result)
 {
-    auto to = result.version;
+    auto version = result.version;
     for (auto const& row : result.rows)
-        to = std::max(to, row.version);
-    return to;
+        version = std::max(version, row.version);
+    return version;
 }
 
 } // namespace
@@ -69,12 +70,13 @@
 platform_view::platform_view(
     boost::asio::io_context& io, versioned_store store, clock_fn clock,
     random_fn random, line_log& log, entry_member self, milliseconds interval,
-    hooks to)
+    hooks callbacks)
     : store_(std::move(store)), clock_(std::move(clock)),
       random_(std::move(random)), log_(log), self_(std::move(self)),
-      interval_(interval), hooks_(std::move(to)), configuration_timer_(io),
-      engines_timer_(io), members_timer_(io), ask_timer_(io), self_timer_(io),
-      engines_(log), members_(log), reader_(self_.node, reader_options(self_))
+      interval_(interval), hooks_(std::move(callbacks)),
+      configuration_timer_(io), engines_timer_(io), members_timer_(io),
+      ask_timer_(io), self_timer_(io), engines_(log), members_(log),
+      reader_(self_.node, reader_options(self_))
 {
     if (!hooks_.boot_clock)
         hooks_.boot_clock = clock_;
@@ -85,17 +87,18 @@
     started_ = clock_();
     read_all();
     if (hooks_.ask)
-        again(question_interval(), ask_timer_, &platform_view::ask_peer);
+        schedule(query_interval(), ask_timer_, &platform_view::ask_peer);
 }
 
 void platform_view::refresh()
 {
-    // A reading under way goes on; the one that ends last sets the next time.
-    if (follows())
+    // A read in progress continues. The one that finishes last schedules the
+    // next.
+    if (is_following())
         ask_peer();
     else
         read_all();
-    write_soon();
+    schedule_self_write();
 }
 
 void platform_view::read_all()
@@ -124,9 +127,11 @@
 
 duration platform_view::configuration_age() const
 {
-    auto const whole_at = section(cluster_table::configuration).whole_at;
-    return whole_at == time_point{} ? duration::max()
-                                    : hooks_.boot_clock() - whole_at;
+    auto const read_started_at =
+        section(cluster_table::configuration).read_started_at;
+    return read_started_at == time_point{}
+               ? duration::max()
+               : hooks_.boot_clock() - read_started_at;
 }
 
 bool platform_view::knows_engines() const
@@ -134,11 +139,11 @@
     return section(cluster_table::engines).known();
 }
 
-void platform_view::again(
+void platform_view::schedule(
     milliseconds after, boost::asio::steady_timer& timer,
     void (platform_view::*step)())
 {
-    // Spread, so that nodes that started together don't read together.
+    // Jitter keeps nodes that started together from reading in lockstep.
     auto const spread = 0.75 + random_() / 2;
     timer.expires_after(milliseconds(static_cast<std::int64_t>(
         static_cast<double>(after.count()) * spread)));
@@ -150,32 +155,33 @@
         });
 }
 
-/// \return the time between readings: two of them, by the reader and by the
-/// node that asks it, lie between a change and its effect.
-milliseconds platform_view::reading_interval() const
+/// \return the time between reads. A change takes effect after up to two of
+/// them: one by the reader and one by its follower.
+milliseconds platform_view::read_interval() const
 {
     return reads_for_others() ? interval_ / 2 : interval_;
 }
 
 bool platform_view::reads_for_others() const
 {
-    return asked_at_ != time_point{} && clock_() - asked_at_ < asked_lately;
+    return last_query_at_ != time_point{} &&
+           clock_() - last_query_at_ < recent_query_window;
 }
 
-bool platform_view::is_young() const
+bool platform_view::is_starting_up() const
 {
-    return clock_() - started_ < first_readings_for;
+    return clock_() - started_ < startup_period;
 }
 
-milliseconds platform_view::question_interval() const
+milliseconds platform_view::query_interval() const
 {
     auto const usual = interval_ / 2;
-    return is_young() ? std::min(usual, first_questions) : usual;
+    return is_starting_up() ? std::min(usual, startup_query_interval) : usual;
 }
 
-/// Takes in a reading unless a newer one is known.
-/// \return false where its bytes can't be read
-bool platform_view::take_in(cluster_table which, cluster_section fresh)
+/// Applies a read unless a newer one is known.
+/// \return false if its bytes cannot be decoded
+bool platform_view::apply_section(cluster_table which, cluster_section fresh)
 {
     auto& known = section(which);
     if (known.known() && fresh.as_of < known.as_of)
@@ -183,7 +189,7 @@
     auto const changed = !known.known() || fresh.digest != known.digest;
     auto const before = known;
     fresh.read_at = std::max(fresh.read_at, known.read_at);
-    fresh.whole_at = known.whole_at;
+    fresh.read_started_at = known.read_started_at;
     if (changed)
         known = std::move(fresh);
     else
@@ -191,7 +197,7 @@
         known.as_of = fresh.as_of;
         known.read_at = fresh.read_at;
     }
-    auto const taken = !changed || take_in_changed(which);
+    auto const taken = !changed || apply_changed_section(which);
     if (!taken)
         known = before;
     else if (!changed && which == cluster_table::engines)
@@ -199,28 +205,29 @@
     return taken;
 }
 
-bool platform_view::take_in_changed(cluster_table which)
+bool platform_view::apply_changed_section(cluster_table which)
 {
     switch (which)
     {
     case cluster_table::configuration:
-        return take_in_configuration();
+        return apply_configuration();
     case cluster_table::engines:
-        return take_in_engines();
+        return apply_engines();
     case cluster_table::members:
         break;
     }
-    return take_in_members();
+    return apply_members();
 }
 
 void platform_view::read_configuration()
 {
-    // A reader that does not say how old its reading is, or that reads late
-    // itself, must not let this node's keys lapse.
-    auto const lapses = configuration_age() > interval_ * lapsing_after;
-    if (follows() && !lapses)
+    // A reader that does not report the age of its read, or whose own reads
+    // are late, must not cause this node's keys to lapse.
+    auto const is_lapsing =
+        configuration_age() > interval_ * lapse_after_intervals;
+    if (is_following() && !is_lapsing)
     {
-        again(
+        schedule(
             interval_, configuration_timer_,
             &platform_view::read_configuration);
         return;
@@ -228,12 +235,12 @@
     std::string const key(platform::names::configuration_key);
     store_.read(
         {std::string(platform::names::operator_table), "", key, key + '\0'},
-        read_patience,
+        read_timeout,
         [this, began = hooks_.boot_clock()](range_result const& result)
         {
             configuration_read(result, began);
-            again(
-                reading_interval(), configuration_timer_,
+            schedule(
+                read_interval(), configuration_timer_,
                 &platform_view::read_configuration);
         });
 }
@@ -246,28 +253,29 @@
     configuration_row row;
     if (!result.rows.empty())
         row = {result.rows[0].version, result.rows[0].value};
-    take_in(
+    apply_section(
         cluster_table::configuration,
         make_section(as_of(result), clock_(), encode(row)));
     confirm_configuration(began);
 }
 
-/// What was acknowledged before that time is known.
-void platform_view::confirm_configuration(time_point whole_at)
+/// Records that the configuration includes every write acknowledged before
+/// that time.
+void platform_view::confirm_configuration(time_point read_started_at)
 {
     auto& known = section(cluster_table::configuration);
-    if (whole_at <= known.whole_at)
+    if (read_started_at <= known.read_started_at)
         return;
-    known.whole_at = whole_at;
+    known.read_started_at = read_started_at;
     if (hooks_.on_confirmed)
         hooks_.on_confirmed();
 }
 
-bool platform_view::take_in_configuration()
+bool platform_view::apply_configuration()
 {
     auto const row =
         decode_configuration_row(section(cluster_table::configuration).bytes);
-    if (!row || row->version <= configuration_row_)
+    if (!row || row->version <= configuration_row_version_)
         return row.has_value();
     findings problems;
     auto decoded = platform::decode_configuration(row->document, problems);
@@ -279,14 +287,14 @@
              {"why", problems.items().front().message}});
         return true;
     }
-    configuration_row_ = row->version;
+    configuration_row_version_ = row->version;
     if (decoded->version < configuration_version_)
         return true;
     configuration_version_ = decoded->version;
     log_.write(
         line_weight::important, "configuration.applied",
         {{"configuration", decoded->version},
-         {"row_version", configuration_row_},
+         {"row_version", configuration_row_version_},
          {"routes", decoded->routes.size()},
          {"services", decoded->services.size()}});
     hooks_.on_configuration(
@@ -296,9 +304,9 @@
 
 void platform_view::read_engines()
 {
-    if (follows())
+    if (is_following())
     {
-        again(interval_, engines_timer_, &platform_view::read_engines);
+        schedule(interval_, engines_timer_, &platform_view::read_engines);
         return;
     }
     read_table(
@@ -307,13 +315,12 @@
         {
             if (read)
                 engines_read(*read);
-            again(
-                reading_interval(), engines_timer_,
-                &platform_view::read_engines);
+            schedule(
+                read_interval(), engines_timer_, &platform_view::read_engines);
         });
 }
 
-/// Reads a table whole, which takes a call for each 500 rows.
+/// Reads a complete table, with one call per 500 rows.
 void platform_view::read_table(
     std::string const& table, std::string const& partition,
     std::function<void(std::optional<table_rows>)> done)
@@ -328,7 +335,7 @@
     std::function<void(std::optional<table_rows>)> done)
 {
     store_.read(
-        range, read_patience,
+        range, read_timeout,
         [this, range, read,
          done = std::move(done)](range_result const& result) mutable
         {
@@ -337,7 +344,8 @@
                 done(std::nullopt);
                 return;
             }
-            // Later pages may be newer than the first one.
+            // The first page's version is a lower bound, as later pages may be
+            // newer.
             if (read->rows.empty())
                 read->as_of = as_of(result);
             read->rows.insert(
@@ -354,31 +362,31 @@
 
 void platform_view::engines_read(table_rows const& read)
 {
-    confirmed_at_ = clock_();
-    take_in(
-        cluster_table::engines,
-        make_section(
-            read.as_of, confirmed_at_, encode(decode_engines(read.rows))));
+    engines_confirmed_at_ = clock_();
+    apply_section(
+        cluster_table::engines, make_section(
+                                    read.as_of, engines_confirmed_at_,
+                                    encode(decode_engines(read.rows))));
 }
 
 std::vector<engine_entry>
 platform_view::decode_engines(std::vector<stored_row> const& rows)
 {
     std::unordered_map<std::string, decoded_row> seen;
-    std::vector<engine_entry> to;
+    std::vector<engine_entry> entries;
     for (auto const& row : rows)
     {
-        auto const before = decoded_.find(row.at.key);
-        auto one =
-            before != decoded_.end() && before->second.version == row.version
-                ? before->second
-                : decoded_row{row.version, decode_engine(row)};
+        auto const before = decoded_engines_.find(row.at.key);
+        auto one = before != decoded_engines_.end() &&
+                           before->second.version == row.version
+                       ? before->second
+                       : decoded_row{row.version, decode_engine(row)};
         if (one.entry)
-            to.push_back(*one.entry);
+            entries.push_back(*one.entry);
         seen.emplace(row.at.key, std::move(one));
     }
-    decoded_ = std::move(seen);
-    return to;
+    decoded_engines_ = std::move(seen);
+    return entries;
 }
 
 std::optional<engine_entry> platform_view::decode_engine(stored_row const& row)
@@ -398,7 +406,7 @@
     return decoded;
 }
 
-bool platform_view::take_in_engines()
+bool platform_view::apply_engines()
 {
     auto const& known = section(cluster_table::engines);
     auto const entries = decode_engine_list(known.bytes);
@@ -411,19 +419,19 @@
 void platform_view::confirm_engines()
 {
     engines_.confirm(section(cluster_table::engines).read_at);
-    // Some may be gone by now although the table did not change.
+    // Engines kept although absent may have expired without a table change.
     if (engines_.keeps_absent())
-        take_in_engines();
+        apply_engines();
 }
 
 void platform_view::read_members()
 {
-    auto const interval = !is_young()          ? renew_every
-                          : reads_for_others() ? first_readings_for_others
-                                               : first_readings;
-    if (follows())
+    auto const interval = !is_starting_up()    ? row_renewal_interval
+                          : reads_for_others() ? startup_reader_read_interval
+                                               : startup_read_interval;
+    if (is_following())
     {
-        again(interval, members_timer_, &platform_view::read_members);
+        schedule(interval, members_timer_, &platform_view::read_members);
         return;
     }
     read_table(
@@ -432,36 +440,37 @@
         {
             if (read)
                 members_read(*read);
-            again(interval, members_timer_, &platform_view::read_members);
-            write_first();
+            schedule(interval, members_timer_, &platform_view::read_members);
+            schedule_first_self_write();
         });
 }
 
 void platform_view::members_read(table_rows const& read)
 {
     auto const now = clock_();
-    take_in(
+    apply_section(
         cluster_table::members,
-        make_section(read.as_of, now, encode(members_.live(read.rows, now))));
+        make_section(
+            read.as_of, now, encode(members_.live_members(read.rows, now))));
 }
 
-/// Writes this node's row for the first time.
-void platform_view::write_first()
+/// Schedules the first write of this node's row.
+void platform_view::schedule_first_self_write()
 {
-    if (written_)
+    if (first_write_scheduled_)
         return;
-    written_ = true;
-    write_soon();
+    first_write_scheduled_ = true;
+    schedule_self_write();
 }
 
-/// Writes this node's row after a while that is spread over the members: a
-/// partition takes its transactions one after another, and all nodes may have
-/// started, or found the store again, together.
-void platform_view::write_soon()
+/// Schedules the write of this node's row after a random delay that grows with
+/// the number of members. A partition processes transactions serially, and all
+/// nodes may have started, or reconnected to the store, at the same time.
+void platform_view::schedule_self_write()
 {
     auto const members = static_cast<double>(member_names_.size());
-    auto const wait = milliseconds(
-        static_cast<std::int64_t>(random_() * members * write_per_member_ms));
+    auto const wait = milliseconds(static_cast<std::int64_t>(
+        random_() * members * write_spread_per_member_ms));
     if (wait.count() == 0)
     {
         write_self();
@@ -476,7 +485,7 @@
         });
 }
 
-bool platform_view::take_in_members()
+bool platform_view::apply_members()
 {
     auto members = decode_member_list(section(cluster_table::members).bytes);
     if (!members)
@@ -520,38 +529,38 @@
     member_names_ = std::move(names);
 }
 
-/// Asks the node that reads for this failure domain, if that is another one.
+/// Queries the reader of this failure domain unless it is this node.
 void platform_view::ask_peer()
 {
-    again(question_interval(), ask_timer_, &platform_view::ask_peer);
+    schedule(query_interval(), ask_timer_, &platform_view::ask_peer);
     auto const* reader = reader_.home_of(reader_key, clock_());
     if (reader == nullptr || !hooks_.ask)
         return;
     section_query query;
-    for (std::size_t i = 0; i < cluster_tables; ++i)
+    for (std::size_t i = 0; i < cluster_table_count; ++i)
         query.digests[i] = sections_[i].digest;
     hooks_.ask(
         reader->address, encode(query),
         [this, peer = *reader, asked_at = hooks_.boot_clock()](
             std::optional<std::string> const& answer)
-        { told(peer, answer, asked_at); });
+        { on_peer_answer(peer, answer, asked_at); });
 }
 
-void platform_view::told(
+void platform_view::on_peer_answer(
     home_candidate const& peer, std::optional<std::string> const& answer,
     time_point asked_at)
 {
     auto const now = clock_();
-    auto const outcome =
-        answer ? take_in_told(*answer, asked_at) : told_outcome::unusable;
-    if (outcome == told_outcome::behind)
+    auto const outcome = answer ? apply_peer_answer(*answer, asked_at)
+                                : peer_answer_outcome::unusable;
+    if (outcome == peer_answer_outcome::behind)
         return;
-    auto const had_followed = follows();
-    if (outcome == told_outcome::taken)
+    auto const was_following = is_following();
+    if (outcome == peer_answer_outcome::applied)
     {
         reader_.answered(peer.node);
-        follows_until_ = now + interval_;
-        if (!had_followed)
+        following_until_ = now + interval_;
+        if (!was_following)
         {
             log_.write(
                 line_weight::routine, "view.follows", {{"reader", peer.node}});
@@ -559,9 +568,9 @@
         return;
     }
     reader_.did_not_answer(peer.node, now);
-    follows_until_ = {};
-    // Otherwise own readings are under way.
-    if (!had_followed)
+    following_until_ = {};
+    // Otherwise own reads are already scheduled.
+    if (!was_following)
         return;
     log_.write(
         line_weight::routine, "view.reads_itself",
@@ -570,55 +579,57 @@
     read_all();
 }
 
-platform_view::told_outcome
-platform_view::take_in_told(std::string_view bytes, time_point asked_at)
+platform_view::peer_answer_outcome
+platform_view::apply_peer_answer(std::string_view bytes, time_point asked_at)
 {
-    auto const told = decode_told_sections(bytes);
-    if (!told)
-        return told_outcome::unusable;
+    auto const reported = decode_peer_sections(bytes);
+    if (!reported)
+        return peer_answer_outcome::unusable;
     auto const now = clock_();
-    // Engines renew their rows all the time, so that a later reading has a
-    // higher version.
+    // Engines renew their rows continuously, so a later read has a higher
+    // version.
     auto const& engines =
-        (*told)[static_cast<std::size_t>(cluster_table::engines)];
+        (*reported)[static_cast<std::size_t>(cluster_table::engines)];
     if (engines.as_of > section(cluster_table::engines).as_of)
-        confirmed_at_ = std::max(confirmed_at_, now - engines.age);
-    if (now - confirmed_at_ > interval_ * oldest_reading)
-        return told_outcome::unusable;
-    auto outcome = told_outcome::taken;
-    for (std::size_t i = 0; i < cluster_tables; ++i)
+        engines_confirmed_at_ =
+            std::max(engines_confirmed_at_, now - engines.age);
+    if (now - engines_confirmed_at_ > interval_ * max_read_age_intervals)
+        return peer_answer_outcome::unusable;
+    auto outcome = peer_answer_outcome::applied;
+    for (std::size_t i = 0; i < cluster_table_count; ++i)
     {
-        auto const& one = (*told)[i];
+        auto const& one = (*reported)[i];
         auto const which = static_cast<cluster_table>(i);
         if (which != cluster_table::members &&
-            one.age > interval_ * oldest_reading)
-            return told_outcome::unusable;
+            one.age > interval_ * max_read_age_intervals)
+            return peer_answer_outcome::unusable;
         if (one.as_of < sections_[i].as_of)
         {
-            // Members are read less often than the others.
+            // Members are read less often than the other tables.
             if (which != cluster_table::members)
-                outcome = told_outcome::behind;
+                outcome = peer_answer_outcome::behind;
             continue;
         }
         auto fresh = sections_[i];
         if (one.bytes)
             fresh = make_section(one.as_of, {}, *one.bytes);
         if (fresh.digest != one.digest)
-            return told_outcome::unusable;
+            return peer_answer_outcome::unusable;
         fresh.as_of = one.as_of;
         fresh.read_at = now - one.age;
-        if (!take_in(which, std::move(fresh)))
-            return told_outcome::unusable;
-        // From the question on, as the answer may have been under way long.
-        if (which == cluster_table::configuration && one.whole_age)
-            confirm_configuration(asked_at - *one.whole_age);
+        if (!apply_section(which, std::move(fresh)))
+            return peer_answer_outcome::unusable;
+        // Counted from when the query was sent, as the answer may have been
+        // delayed in transit.
+        if (which == cluster_table::configuration && one.read_start_age)
+            confirm_configuration(asked_at - *one.read_start_age);
     }
     return outcome;
 }
 
 std::optional<std::string> platform_view::serve(std::string_view query)
 {
-    asked_at_ = clock_();
+    last_query_at_ = clock_();
     auto const asked = decode_section_query(query);
     if (!asked)
         return std::nullopt;
@@ -633,18 +644,18 @@
 {
     if (leaving_)
         return;
-    row_transaction one;
-    one.writes.push_back(
+    row_transaction transaction;
+    transaction.writes.push_back(
         {{members_table, members_partition, self_.node}, encode(self_)});
     store_.commit(
-        std::move(one), write_patience,
+        std::move(transaction), write_timeout,
         [this](transaction_result const& result)
         {
             if (leaving_)
                 return;
             auto const failed = result.outcome != store_outcome::done;
-            again(
-                failed ? write_pause : renew_every, self_timer_,
+            schedule(
+                failed ? write_retry_delay : row_renewal_interval, self_timer_,
                 &platform_view::write_self);
         });
 }
@@ -653,10 +664,11 @@
 {
     leaving_ = true;
     self_timer_.cancel();
-    row_transaction one;
-    one.removals.push_back({members_table, members_partition, self_.node});
+    row_transaction transaction;
+    transaction.removals.push_back(
+        {members_table, members_partition, self_.node});
     store_.commit(
-        std::move(one), read_patience,
+        std::move(transaction), read_timeout,
         [done = std::move(done)](transaction_result const&) { done(); });
 }
 
--- a/src/entry/platform_view.hpp
+++ b/src/entry/platform_view.hpp
@@ -2,14 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_PLATFORM_VIEW_HPP
 
 /// \file
-/// What a node believes of the configuration, the engines and the other
-/// nodes: tables of the store, read whole again and again.
+/// A node's view of the configuration, the engines and the other nodes. It is
+/// built by polling complete tables of the store.
 ///
-/// One node of each failure domain reads the store; the others ask that node
-/// which tables have changed, and read the store themselves where it does not
-/// answer, or only with old readings. Reading whole has no state that an
-/// outage, a lost history or a silent feed could leave wrong. A reading never
-/// replaces one of a higher version.
+/// One node of each failure domain, the reader, polls the store. The others,
+/// its followers, query the reader for changed tables. A follower polls the
+/// store itself while the reader does not answer or reports only stale tables.
+/// Complete reads keep no state that an outage, a truncated history or a
+/// stalled change feed could corrupt. A read never replaces one of a higher
+/// version.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/random.hpp>
@@ -40,7 +41,7 @@
 class platform_view
 {
 public:
-    /// \param answer empty where the node did not answer
+    /// \param answer empty if the node did not answer
     using told_fn = std::function<void(std::optional<std::string> answer)>;
 
     struct hooks
@@ -49,80 +50,83 @@
             on_configuration;
         std::function<void(std::vector<engine_entry> const&)> on_engines;
         std::function<void(std::vector<entry_member> const&)> on_members;
-        /// Asks another node, to be answered by its serve(); null: all is read
-        /// from the store.
+        /// Queries another node, whose serve() answers. Null: this node reads
+        /// all tables from the store.
         std::function<void(
             std::string const& address, std::string query, told_fn)>
             ask{};
-        /// Clock that goes on while the machine is suspended; null: the view's.
+        /// Clock that also counts suspended time. Null: the view's clock.
         clock_fn boot_clock{};
-        /// The configuration is known to be whole as of a later time.
+        /// Called when the configuration is confirmed to be current as of a
+        /// later time than before.
         std::function<void()> on_confirmed{};
     };
 
     platform_view(
         boost::asio::io_context& io, versioned_store store, clock_fn clock,
         random_fn random, line_log& log, entry_member self,
-        std::chrono::milliseconds interval, hooks to);
+        std::chrono::milliseconds interval, hooks callbacks);
 
     void start();
 
-    /// Takes in and writes all at once rather than at its next time, as the
-    /// store has just come back: nodes that know no others reserve budgets
-    /// beside each other.
+    /// Reads all tables and schedules the write of the own row without waiting
+    /// for the next interval. For use when the store is reachable again: nodes
+    /// that know no other members reserve budgets independently of each other.
     void refresh();
 
-    /// Takes this node's own row away; \param done called when that is known
-    /// or given up.
+    /// Removes this node's own row.
+    /// \param done called when the removal succeeded, failed or timed out
     void leave(std::function<void()> done);
 
-    /// When a configuration or the engines were last read, by this node or the
-    /// one that told it.
+    /// \return when the configuration or the engines were last read, by this
+    /// node or by the peer that reported them.
     time_point last_read() const;
-    /// \return the time since the configuration is known to hold all that was
-    /// acknowledged before; the longest duration where it never was read.
+    /// \return staleness of the configuration: time since the latest moment up
+    /// to which it is known to include every acknowledged write. The maximum
+    /// duration if it was never read.
     duration configuration_age() const;
-    /// \return true once the registered engines were read.
+    /// \return true once the engines' table was read.
     bool knows_engines() const;
 
-    /// Answers another node's query. \return empty where it can't be answered
+    /// Answers another node's query.
+    /// \return empty if it cannot be answered
     std::optional<std::string> serve(std::string_view query);
 
 private:
-    /// A row of the engines' table as this node read it last.
+    /// A row of the engines' table as this node last read it.
     struct decoded_row
     {
         std::uint64_t version = 0;
-        /// Empty: the row is not an engine's own.
+        /// Empty: the row does not decode to an engine.
         std::optional<engine_entry> entry;
     };
 
-    /// A table as it was read.
+    /// All rows of a table from one read.
     struct table_rows
     {
         std::vector<stored_row> rows;
-        /// The store's version at the first call.
+        /// The store's version at the first page.
         std::uint64_t as_of = 0;
     };
 
     cluster_section& section(cluster_table which);
     cluster_section const& section(cluster_table which) const;
-    bool take_in(cluster_table which, cluster_section fresh);
-    bool take_in_changed(cluster_table which);
-    bool take_in_configuration();
-    bool take_in_engines();
+    bool apply_section(cluster_table which, cluster_section fresh);
+    bool apply_changed_section(cluster_table which);
+    bool apply_configuration();
+    bool apply_engines();
     void confirm_engines();
-    bool take_in_members();
+    bool apply_members();
 
-    std::chrono::milliseconds reading_interval() const;
-    std::chrono::milliseconds question_interval() const;
+    std::chrono::milliseconds read_interval() const;
+    std::chrono::milliseconds query_interval() const;
     bool reads_for_others() const;
-    bool is_young() const;
-    bool follows() const { return clock_() < follows_until_; }
+    bool is_starting_up() const;
+    bool is_following() const { return clock_() < following_until_; }
     void read_all();
     void read_configuration();
     void configuration_read(range_result const& result, time_point began);
-    void confirm_configuration(time_point whole_at);
+    void confirm_configuration(time_point read_started_at);
     void read_engines();
     void read_table(
         std::string const& table, std::string const& partition,
@@ -136,29 +140,31 @@
     std::optional<engine_entry> decode_engine(stored_row const& row);
     void read_members();
     void members_read(table_rows const& read);
-    void write_first();
-    void write_soon();
+    void schedule_first_self_write();
+    void schedule_self_write();
 
-    /// What another node's answer was good for.
-    enum class told_outcome
+    /// How another node's answer was used.
+    enum class peer_answer_outcome
     {
-        /// It stands in for readings of the store.
-        taken,
-        /// It is older than what this node has read itself.
+        /// It replaces own reads of the store.
+        applied,
+        /// It is older than this node's own view.
         behind,
-        /// It is unreadable, or too old for the bounds of a change.
+        /// It is unreadable, or too stale for the time within which a change
+        /// must take effect.
         unusable
     };
 
     void ask_peer();
-    void told(
+    void on_peer_answer(
         home_candidate const& peer, std::optional<std::string> const& answer,
         time_point asked_at);
-    told_outcome take_in_told(std::string_view bytes, time_point asked_at);
+    peer_answer_outcome
+    apply_peer_answer(std::string_view bytes, time_point asked_at);
     void log_members(std::vector<entry_member> const& members);
 
     void write_self();
-    void again(
+    void schedule(
         std::chrono::milliseconds after, boost::asio::steady_timer& timer,
         void (platform_view::*step)());
 
@@ -175,24 +181,24 @@
     boost::asio::steady_timer ask_timer_;
     boost::asio::steady_timer self_timer_;
     cluster_sections sections_;
-    std::uint64_t configuration_row_ = 0;
+    std::uint64_t configuration_row_version_ = 0;
     std::uint64_t configuration_version_ = 0;
     engine_roster engines_;
     member_roster members_;
-    std::unordered_map<std::string, decoded_row> decoded_;
-    /// The node of the own failure domain that reads for the others.
+    std::unordered_map<std::string, decoded_row> decoded_engines_;
+    /// Selects the reader of the own failure domain.
     program_homes reader_;
-    /// Until then another node's readings stand in for own ones.
-    time_point follows_until_{};
+    /// Until then the reader's answers replace own reads.
+    time_point following_until_{};
     std::set<std::string> member_names_;
-    /// When the engines were read at the latest, by this node's own clock: the
-    /// clock of a reader that was suspended makes its readings look newer.
-    time_point confirmed_at_{};
-    /// When another node last asked.
-    time_point asked_at_{};
+    /// Latest read of the engines, on this node's own clock. The clock of a
+    /// reader that was suspended makes its reads look newer than they are.
+    time_point engines_confirmed_at_{};
+    /// When another node last sent a query.
+    time_point last_query_at_{};
     time_point started_{};
-    /// The own row was written, or is about to be.
-    bool written_ = false;
+    /// The first write of the own row was scheduled.
+    bool first_write_scheduled_ = false;
     bool leaving_ = false;
 };
 
--- a/test/cluster_section-test.cpp
+++ b/test/cluster_section-test.cpp
@@ -47,7 +47,8 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    section_fixture, "cluster section: tables come back as they were sent")
+    section_fixture,
+    "cluster section: encoded tables decode to the same values")
 {
     auto const configuration = decode_configuration_row(known[0].bytes);
     REQUIRE(configuration);
@@ -74,30 +75,31 @@
 }
 
 TEST_CASE_METHOD(
-    section_fixture, "cluster section: only tables that differ are told whole")
+    section_fixture,
+    "cluster section: only tables that differ are sent in full")
 {
     section_query query;
     query.digests = {known[0].digest, 1, known[2].digest};
     clock.advance(milliseconds(40));
     auto const answer = answer_query(query, known, clock.now());
     REQUIRE(answer);
-    auto const told = decode_told_sections(encode(*answer));
-    REQUIRE(told);
-    CHECK_FALSE((*told)[0].bytes);
-    REQUIRE((*told)[1].bytes);
-    CHECK(*(*told)[1].bytes == known[1].bytes);
-    CHECK_FALSE((*told)[2].bytes);
-    for (std::size_t i = 0; i < cluster_tables; ++i)
+    auto const reported = decode_peer_sections(encode(*answer));
+    REQUIRE(reported);
+    CHECK_FALSE((*reported)[0].bytes);
+    REQUIRE((*reported)[1].bytes);
+    CHECK(*(*reported)[1].bytes == known[1].bytes);
+    CHECK_FALSE((*reported)[2].bytes);
+    for (std::size_t i = 0; i < cluster_table_count; ++i)
     {
-        CHECK((*told)[i].as_of == known[i].as_of);
-        CHECK((*told)[i].digest == known[i].digest);
-        CHECK((*told)[i].age == milliseconds(40));
+        CHECK((*reported)[i].as_of == known[i].as_of);
+        CHECK((*reported)[i].digest == known[i].digest);
+        CHECK((*reported)[i].age == milliseconds(40));
     }
 }
 
 TEST_CASE_METHOD(
     section_fixture,
-    "cluster section: a node that has not read all tables tells none")
+    "cluster section: a node that has not read all tables does not answer")
 {
     known[2] = {};
     CHECK_FALSE(answer_query({}, known, clock.now()));
@@ -107,11 +109,11 @@
     section_fixture, "cluster section: bytes cut off anywhere are unreadable")
 {
     auto const answer = encode(*answer_query({}, known, clock.now()));
-    REQUIRE(decode_told_sections(answer));
+    REQUIRE(decode_peer_sections(answer));
     for (std::size_t size = 0; size < answer.size(); ++size)
     {
         INFO(size);
-        CHECK_FALSE(decode_told_sections(answer.substr(0, size)));
+        CHECK_FALSE(decode_peer_sections(answer.substr(0, size)));
     }
     CHECK_FALSE(decode_section_query("not a query"));
     CHECK_FALSE(decode_engine_list(known[2].bytes + "x"));
--- a/test/cluster_view-test.cpp
+++ b/test/cluster_view-test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Views of many nodes on one store, in one process: who reads it, and what
-/// the others believe when the reader fails.
+/// Views of many nodes on one store, in one process. Tests which nodes read
+/// the store and what the others see when the reader fails.
 
 #include "entry/platform_view.hpp"
 
@@ -32,7 +32,7 @@
         std::unique_ptr<line_log> log;
         std::set<std::string> engines;
         std::size_t members = 0;
-        std::size_t store_readings = 0;
+        std::size_t store_reads = 0;
         std::size_t answers = 0;
         std::unique_ptr<platform_view> view;
     };
@@ -40,12 +40,11 @@
     boost::asio::io_context io;
     fake_store rows;
     std::map<std::string, std::unique_ptr<node>> nodes;
-    /// Addresses that don't answer, or with something else.
-    std::set<std::string> silent;
-    std::map<std::string, std::string> forged;
-    std::set<std::string> without_store;
+    /// Addresses that do not answer, and answers that replace real ones.
+    std::set<std::string> unresponsive;
+    std::map<std::string, std::string> forged_answers;
+    std::set<std::string> cut_off_from_store;
     milliseconds interval{60};
-    /// The views' clock.
     clock_fn clock = now;
     duration suspended_for{0};
 
@@ -94,16 +93,16 @@
     {
         auto to = rows.calls();
         to.read = [this, &one, read = to.read](
-                      row_range const& range, milliseconds patience,
+                      row_range const& range, milliseconds timeout,
                       std::function<void(range_result)> const& done)
         {
-            if (without_store.count(one.name) > 0)
+            if (cut_off_from_store.count(one.name) > 0)
             {
                 boost::asio::post(io, [done] { done({}); });
                 return;
             }
-            ++one.store_readings;
-            read(range, patience, done);
+            ++one.store_reads;
+            read(range, timeout, done);
         };
         return to;
     }
@@ -144,11 +143,12 @@
     answer_of(std::string const& address, std::string const& query)
     {
         auto const found = nodes.find(address);
-        if (silent.count(address) > 0 || found == nodes.end())
+        if (unresponsive.count(address) > 0 || found == nodes.end())
             return std::nullopt;
-        auto const instead = forged.find(address);
-        return instead != forged.end() ? instead->second
-                                       : found->second->view->serve(query);
+        auto const instead = forged_answers.find(address);
+        return instead != forged_answers.end()
+                   ? instead->second
+                   : found->second->view->serve(query);
     }
 
     void start_all()
@@ -169,7 +169,7 @@
     }
 
     template<class Condition>
-    bool comes_true(Condition const& condition)
+    bool eventually(Condition const& condition)
     {
         auto const end = now() + seconds(30);
         while (!condition() && now() < end)
@@ -177,21 +177,21 @@
         return condition();
     }
 
-    bool all_know(std::set<std::string> const& engines)
+    bool all_see(std::set<std::string> const& engines)
     {
         for (auto const& [name, one] : nodes)
         {
-            if (silent.count(name) == 0 && one->engines != engines)
+            if (unresponsive.count(name) == 0 && one->engines != engines)
                 return false;
         }
         return true;
     }
 
-    /// Until all members know each other, and those that follow do.
-    void settle()
+    /// Starts all nodes and runs until each sees all the others.
+    void start_and_converge()
     {
         start_all();
-        REQUIRE(comes_true(
+        REQUIRE(eventually(
             [this]
             {
                 for (auto const& [name, one] : nodes)
@@ -213,30 +213,30 @@
     add("strong", 0.5);
     for (int i = 0; i < 4; ++i)
         add("weak" + std::to_string(i), 0.01);
-    settle();
-    // From here on only one node can know.
+    start_and_converge();
+    // From here on only one node can read the store.
     for (auto const& [name, one] : nodes)
     {
         if (name != "strong")
-            without_store.insert(name);
+            cut_off_from_store.insert(name);
     }
     put_engine("e2");
     put_engine("e1", "draining");
-    CHECK(comes_true([this] { return all_know({"e2"}); }));
+    CHECK(eventually([this] { return all_see({"e2"}); }));
 }
 
 TEST_CASE_METHOD(
-    cluster_view_fixture,
-    "cluster view: a reader that falls silent is done without")
+    cluster_view_fixture, "cluster view: a follower sees new engines after its "
+                          "reader stops answering")
 {
     put_engine("e1");
     add("strong", 0.5);
     add("weak", 0.01);
-    settle();
-    REQUIRE(comes_true([this] { return all_know({"e1"}); }));
-    silent.insert("strong");
+    start_and_converge();
+    REQUIRE(eventually([this] { return all_see({"e1"}); }));
+    unresponsive.insert("strong");
     put_engine("e2");
-    CHECK(comes_true(
+    CHECK(eventually(
         [this] {
             return nodes.at("weak")->engines ==
                    std::set<std::string>{"e1", "e2"};
@@ -244,16 +244,16 @@
 }
 
 TEST_CASE_METHOD(
-    cluster_view_fixture,
-    "cluster view: a reader cut off from the store is done without")
+    cluster_view_fixture, "cluster view: a follower sees new engines after its "
+                          "reader loses the store")
 {
     put_engine("e1");
     add("strong", 0.5);
     add("weak", 0.01);
-    settle();
-    without_store.insert("strong");
+    start_and_converge();
+    cut_off_from_store.insert("strong");
     put_engine("e2");
-    CHECK(comes_true(
+    CHECK(eventually(
         [this] {
             return nodes.at("weak")->engines ==
                    std::set<std::string>{"e1", "e2"};
@@ -261,15 +261,16 @@
 }
 
 TEST_CASE_METHOD(
-    cluster_view_fixture, "cluster view: unreadable answers are done without")
+    cluster_view_fixture,
+    "cluster view: a follower sees new engines despite unreadable answers")
 {
     put_engine("e1");
     add("strong", 0.5);
     add("weak", 0.01);
-    settle();
-    forged["strong"] = "not what was asked for";
+    start_and_converge();
+    forged_answers["strong"] = "not what was asked for";
     put_engine("e2");
-    CHECK(comes_true(
+    CHECK(eventually(
         [this] {
             return nodes.at("weak")->engines ==
                    std::set<std::string>{"e1", "e2"};
@@ -278,18 +279,18 @@
 
 TEST_CASE_METHOD(
     cluster_view_fixture,
-    "cluster view: an older reading never replaces a newer one")
+    "cluster view: an older read never replaces a newer one")
 {
     put_engine("e1");
     add("strong", 0.5);
     add("weak", 0.01);
-    settle();
-    REQUIRE(comes_true([this] { return all_know({"e1"}); }));
+    start_and_converge();
+    REQUIRE(eventually([this] { return all_see({"e1"}); }));
     auto const old = nodes.at("strong")->view->serve(encode(section_query()));
     REQUIRE(old);
     put_engine("e2");
-    REQUIRE(comes_true([this] { return all_know({"e1", "e2"}); }));
-    forged["strong"] = *old;
+    REQUIRE(eventually([this] { return all_see({"e1", "e2"}); }));
+    forged_answers["strong"] = *old;
     auto& weak = *nodes.at("weak");
     auto const before = weak.answers;
     while (weak.answers < before + 5)
@@ -306,14 +307,14 @@
     put_engine("e1");
     add("strong", 0.5);
     add("weak", 0.01);
-    settle();
+    start_and_converge();
     auto const frozen =
         nodes.at("strong")->view->serve(encode(section_query()));
     REQUIRE(frozen);
-    // Its clock stood still, so that its readings look as if they were new.
-    forged["strong"] = *frozen;
+    // The reader's clock stopped, so its reads look new.
+    forged_answers["strong"] = *frozen;
     put_engine("e2");
-    CHECK(comes_true([this]
+    CHECK(eventually([this]
                      { return nodes.at("weak")->engines.count("e2") == 1; }));
 }
 
@@ -321,11 +322,12 @@
     cluster_view_fixture,
     "cluster view: 295 nodes read the store as often as their domains")
 {
-    // On a slow machine readings would be too old to follow: the clock stands.
+    // The clock is stopped, as reads on a slow machine would be too old to
+    // follow.
     manual_clock paused;
     paused.advance(seconds(100));
     clock = paused.fn();
-    // 54 strong and 241 weak nodes in six failure domains.
+    // 54 nodes of high and 241 of low capacity weight in six failure domains.
     interval = milliseconds(1'000);
     put_engine("e1");
     constexpr int domains = 6;
@@ -335,7 +337,7 @@
         add((strong ? "s" : "w") + std::to_string(i), strong ? 0.5 : 0.12,
             "z" + std::to_string(i % domains));
     }
-    settle();
+    start_and_converge();
     auto const all = [this](std::size_t node::*what)
     {
         std::size_t sum = 0;
@@ -346,17 +348,16 @@
     auto const after_rounds = [&](std::size_t rounds)
     {
         auto const until = all(&node::answers) + rounds * nodes.size();
-        return comes_true([&] { return all(&node::answers) >= until; });
+        return eventually([&] { return all(&node::answers) >= until; });
     };
     REQUIRE(after_rounds(5));
     auto const answers = all(&node::answers);
-    auto const readings = all(&node::store_readings);
+    auto const reads = all(&node::store_reads);
     REQUIRE(after_rounds(5));
-    // Each table read by each node would be more readings than answers.
+    // If each node read each table, there would be more reads than answers.
     CHECK(
-        (all(&node::store_readings) - readings) * 5 <
-        all(&node::answers) - answers);
-    CHECK(all_know({"e1"}));
+        (all(&node::store_reads) - reads) * 5 < all(&node::answers) - answers);
+    CHECK(all_see({"e1"}));
 }
 
 TEST_CASE_METHOD(
@@ -367,30 +368,29 @@
     put_engine("e1");
     auto& reader = add("strong", 0.5);
     auto& follower = add("weak", 0.01);
-    settle();
+    start_and_converge();
     auto const both_are = [&](bool recent)
     {
         return (reader.view->configuration_age() < seconds(1)) == recent &&
                (follower.view->configuration_age() < seconds(1)) == recent;
     };
-    REQUIRE(comes_true([&] { return both_are(true); }));
+    REQUIRE(eventually([&] { return both_are(true); }));
     suspended_for = seconds(30);
     CHECK(both_are(false));
-    CHECK(comes_true([&] { return both_are(true); }));
+    CHECK(eventually([&] { return both_are(true); }));
 }
 
 TEST_CASE_METHOD(
-    cluster_view_fixture,
-    "cluster view: a reading that was passed on is as old as it is")
+    cluster_view_fixture, "cluster view: a forwarded read keeps its age")
 {
     put_engine("e1");
     auto& reader = add("strong", 0.5);
     auto& follower = add("weak", 0.01);
-    settle();
-    REQUIRE(comes_true(
+    start_and_converge();
+    REQUIRE(eventually(
         [&] { return follower.view->configuration_age() < seconds(1); }));
-    without_store = {"strong", "weak"};
-    // Asked again and again, the reader has nothing newer to tell.
+    cut_off_from_store = {"strong", "weak"};
+    // The reader is polled but has no newer data to report.
     auto const began = now();
     run_for(interval * 10);
     auto const passed = now() - began;
