--- a/include/walnutmill/versioned_store.hpp
+++ b/include/walnutmill/versioned_store.hpp
@@ -2,9 +2,10 @@
 #define WALNUTMILL_VERSIONED_STORE_HPP
 
 /// \file
-/// The platform's transactional store as entry nodes see it: rows with
-/// versions that are changed only under conditions. Calls don't block; they
-/// are hooks, so that tests put in their own.
+/// Interface of entry nodes to the platform's transactional store. Rows have
+/// versions and are written by conditional transactions. Calls are
+/// asynchronous and held as function objects, so that tests can replace them.
+/// Without versions, concurrent writers would overwrite each other's rows.
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +16,7 @@
 namespace walnutmill
 {
 
-/// Where a row lies. Rows of one partition can change together.
+/// Address of a row. A transaction can change several rows of one partition.
 struct row_address
 {
     std::string table;
@@ -29,28 +30,31 @@
     }
 };
 
+/// A row as read from the store.
 struct stored_row
 {
     row_address at;
     std::string value;
-    /// Grows with each change anywhere in the store.
+    /// Increases with each change anywhere in the store.
     std::uint64_t version = 0;
 };
 
-/// Holds while the row has that version; 0: while there is no such row.
+/// Holds while the row has this version. Version 0 requires that the row does
+/// not exist.
 struct version_condition
 {
     row_address at;
     std::uint64_t version = 0;
 };
 
+/// A row to write: creates the row or replaces its value.
 struct row_value
 {
     row_address at;
     std::string value;
 };
 
-/// Takes effect as a whole or not at all. All its rows share a partition.
+/// An atomic transaction. All its rows must belong to one partition.
 struct row_transaction
 {
     std::vector<version_condition> conditions;
@@ -58,28 +62,30 @@
     std::vector<row_address> removals;
 };
 
+/// Outcome of a call, after all its attempts.
 enum class store_outcome
 {
     done,
-    /// A condition did not hold; nothing was written by the last attempt.
+    /// A condition did not hold. The last attempt wrote nothing.
     conflict,
-    /// No answer in time that says what became of it.
+    /// No conclusive reply arrived before the timeout.
     unavailable
 };
 
 struct transaction_result
 {
     store_outcome outcome = store_outcome::unavailable;
-    /// Version of all rows that were written.
+    /// Version of all written rows.
     std::uint64_t version = 0;
-    /// An earlier attempt got no answer: it may have taken effect, which a
-    /// conflict then shows, or may yet do so while its conditions hold.
+    /// The outcome of an attempt is unknown because it received no reply. The
+    /// attempt may have taken effect, in which case a retry reports a conflict,
+    /// or may still take effect while its conditions hold.
     bool in_doubt = false;
-    /// On conflict: the rows of the conditions as they are now.
+    /// On conflict: the current rows of the conditions.
     std::vector<stored_row> rows;
 };
 
-/// Keys from `from` up to, without, `to`; empty means without bound.
+/// Keys in the half-open range [from, to). An empty key means no bound.
 struct row_range
 {
     std::string table;
@@ -92,26 +98,27 @@
 {
     store_outcome outcome = store_outcome::unavailable;
     std::vector<stored_row> rows;
-    /// The store's newest version when the rows were read; 0: not told.
+    /// The store's newest version when the rows were read; 0: not reported.
     std::uint64_t version = 0;
-    /// More rows follow the last one.
+    /// The range has more rows after the last one returned.
     bool truncated = false;
 };
 
-/// The store's calls. Each continuation runs once, later, on the caller's
-/// event loop.
+/// The store's calls. Each completion handler runs exactly once, on the
+/// caller's event loop, and never from within the call itself.
 struct versioned_store
 {
     std::function<void(
-        row_transaction, std::chrono::milliseconds patience,
+        row_transaction, std::chrono::milliseconds timeout,
         std::function<void(transaction_result)>)>
         commit;
     std::function<void(
-        row_range, std::chrono::milliseconds patience,
+        row_range, std::chrono::milliseconds timeout,
         std::function<void(range_result)>)>
         read;
-    /// False where a partition has not answered for a while, although asked;
-    /// null: not known, so all are taken to answer.
+    /// Returns false while a partition has left requests unanswered for some
+    /// time. Null means that this is unknown and all partitions are assumed to
+    /// be reachable.
     std::function<bool(std::string const& partition)> answers;
 };
 
--- a/src/entry/row_sweeper.cpp
+++ b/src/entry/row_sweeper.cpp
@@ -11,25 +11,25 @@
 namespace
 {
 
-/// Entries of one transaction; the platform takes 100.
-constexpr std::size_t entries_at_once = 90;
+/// Maximum entries of one transaction; the platform's limit is 100.
+constexpr std::size_t max_entries_per_transaction = 90;
 
 } // namespace
 
 struct row_sweeper::pass
 {
-    struct doomed
+    struct expired_row
     {
         stored_row row;
-        std::vector<row_address> with_it;
+        std::vector<row_address> dependent_rows;
     };
 
     std::string partition;
-    std::int64_t before = 0;
+    std::int64_t cutoff = 0;
     std::size_t table = 0;
     std::string from;
-    bool more = false;
-    std::deque<doomed> rows;
+    bool has_more = false;
+    std::deque<expired_row> rows;
     std::size_t removed = 0;
     std::function<void(std::size_t)> done;
 };
@@ -44,94 +44,94 @@
 
 row_sweeper::~row_sweeper()
 {
-    // Answers of the store that still come find nobody.
+    // Replies of the store that arrive later are discarded.
     *alive_ = false;
 }
 
 void row_sweeper::sweep(
-    std::string const& partition, std::chrono::seconds kept_for,
+    std::string const& partition, std::chrono::seconds retention,
     std::function<void(std::size_t)> done)
 {
-    auto const one = std::make_shared<pass>();
-    one->partition = partition;
-    one->before = utc_() - (kept_for + options_.margin).count();
-    one->done = std::move(done);
-    read_on(one);
+    auto const state = std::make_shared<pass>();
+    state->partition = partition;
+    state->cutoff = utc_() - (retention + options_.margin).count();
+    state->done = std::move(done);
+    read_next_page(state);
 }
 
-void row_sweeper::read_on(pass_ptr const& one)
+void row_sweeper::read_next_page(pass_ptr const& state)
 {
-    if (one->table == tables_.size())
+    if (state->table == tables_.size())
     {
-        one->done(one->removed);
+        state->done(state->removed);
         return;
     }
     store_.read(
-        {tables_[one->table].name, one->partition, one->from, {}},
-        options_.patience,
-        [this, alive = alive_, one](range_result const& page)
+        {tables_[state->table].name, state->partition, state->from, {}},
+        options_.timeout,
+        [this, alive = alive_, state](range_result const& page)
         {
             if (*alive)
-                page_read(one, page);
+                handle_page(state, page);
         });
 }
 
-void row_sweeper::page_read(pass_ptr const& one, range_result const& page)
+void row_sweeper::handle_page(pass_ptr const& state, range_result const& page)
 {
-    // A page that can't be read is left for the next pass.
-    one->more = page.outcome == store_outcome::done && page.truncated &&
-                !page.rows.empty();
+    // A page that can't be read is retried by the next pass.
+    state->has_more = page.outcome == store_outcome::done && page.truncated &&
+                      !page.rows.empty();
     for (auto const& row : page.rows)
     {
-        auto const age = tables_[one->table].age_of(row);
-        if (age && age->written_at < one->before)
-            one->rows.push_back({row, age->with_it});
+        auto const age = tables_[state->table].age_of(row);
+        if (age && age->written_at < state->cutoff)
+            state->rows.push_back({row, age->dependent_rows});
     }
     if (!page.rows.empty())
-        one->from = page.rows.back().at.key + '\0';
-    remove_on(one);
+        state->from = page.rows.back().at.key + '\0';
+    remove_next_batch(state);
 }
 
-void row_sweeper::remove_on(pass_ptr const& one)
+void row_sweeper::remove_next_batch(pass_ptr const& state)
 {
-    if (one->rows.empty())
+    if (state->rows.empty())
     {
-        if (!one->more)
+        if (!state->has_more)
         {
-            ++one->table;
-            one->from.clear();
+            ++state->table;
+            state->from.clear();
         }
-        read_on(one);
+        read_next_page(state);
         return;
     }
     row_transaction change;
     std::size_t entries = 0;
     std::size_t rows = 0;
-    while (!one->rows.empty() && entries < entries_at_once)
+    while (!state->rows.empty() && entries < max_entries_per_transaction)
     {
-        auto const& next = one->rows.front();
-        auto const needed = 2 + next.with_it.size();
-        if (entries > 0 && entries + needed > entries_at_once)
+        auto const& next = state->rows.front();
+        auto const needed = 2 + next.dependent_rows.size();
+        if (entries > 0 && entries + needed > max_entries_per_transaction)
             break;
         change.conditions.push_back({next.row.at, next.row.version});
         change.removals.push_back(next.row.at);
-        for (auto const& at : next.with_it)
+        for (auto const& at : next.dependent_rows)
             change.removals.push_back(at);
         entries += needed;
         ++rows;
-        one->rows.pop_front();
+        state->rows.pop_front();
     }
     store_.commit(
-        std::move(change), options_.patience,
-        [this, alive = alive_, one, rows](transaction_result const& result)
+        std::move(change), options_.timeout,
+        [this, alive = alive_, state, rows](transaction_result const& result)
         {
             if (!*alive)
                 return;
-            // Where one row was changed meanwhile, all of them are left for
-            // the next pass.
+            // If any row has changed meanwhile, the whole batch is left for the
+            // next pass.
             if (result.outcome == store_outcome::done)
-                one->removed += rows;
-            remove_on(one);
+                state->removed += rows;
+            remove_next_batch(state);
         });
 }
 
@@ -158,7 +158,7 @@
         {
             auto at = row.at;
             at.key = turn_history::piece_key(request_id(row.at.key), i);
-            age.with_it.push_back(std::move(at));
+            age.dependent_rows.push_back(std::move(at));
         }
         return age;
     };
--- a/src/entry/row_sweeper.hpp
+++ b/src/entry/row_sweeper.hpp
@@ -2,16 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_ROW_SWEEPER_HPP
 
 /// \file
-/// Removes rows that have outlived their use: nothing in the store expires by
-/// itself.
+/// Removes expired rows, because the store has no expiry of its own.
 ///
 /// Load pattern: 30 to 140 programs a second, each leaving an account and up
-/// to some 20 kept turns of 1 to 14 KB. Without it a site fills its store
-/// with 2 GB of turns in a day.
+/// to about 20 stored turns of 1 to 14 KB. Without this module a site fills its
+/// store with 2 GB of turns in a day.
 ///
-/// Each partition is swept by one node, chosen as programs' homes are. Two
-/// that take themselves for it only find less to do: a row is removed under
-/// its version.
+/// Each partition is swept by one node, selected like the coordinators of
+/// programs. Two nodes that sweep the same partition do no harm: a row is
+/// removed only if its version is unchanged.
 
 #include <walnutmill/random.hpp>
 #include <walnutmill/versioned_store.hpp>
@@ -28,29 +27,30 @@
 namespace walnutmill
 {
 
-/// What a row says of its age.
+/// Age of a row, as decoded from its value.
 struct row_age
 {
-    /// When it was written last, in UTC seconds.
+    /// Time of the last write, in UTC seconds.
     std::int64_t written_at = 0;
-    /// Rows that go with it.
-    std::vector<row_address> with_it;
+    /// Rows that are removed together with this row.
+    std::vector<row_address> dependent_rows;
 };
 
-/// A table whose rows grow old.
+/// A table whose rows expire.
 struct swept_table
 {
     std::string name;
-    /// \return empty where the row is not the table's, or goes with another.
+    /// \return nothing if the row can't be decoded as one of the table's, or
+    /// is removed together with another row.
     std::function<std::optional<row_age>(stored_row const&)> age_of;
 };
 
 struct sweep_options
 {
-    /// Kept beyond the longest time that a route promises: covers clocks that
+    /// Added to the longest retention of any route, to allow for clocks that
     /// differ by minutes.
     std::chrono::seconds margin{600};
-    std::chrono::milliseconds patience{2'000};
+    std::chrono::milliseconds timeout{2'000};
 };
 
 class row_sweeper
@@ -63,20 +63,20 @@
     row_sweeper(row_sweeper const&) = delete;
     row_sweeper& operator=(row_sweeper const&) = delete;
 
-    /// Sweeps one partition of all tables, one after the other.
-    /// \param kept_for the longest time that a route promises to keep turns
-    /// \param done told how many rows were removed
+    /// Sweeps one partition of all tables sequentially.
+    /// \param retention the longest time for which any route retains turns
+    /// \param done receives the number of removed rows
     void sweep(
-        std::string const& partition, std::chrono::seconds kept_for,
+        std::string const& partition, std::chrono::seconds retention,
         std::function<void(std::size_t removed)> done);
 
 private:
     struct pass;
     using pass_ptr = std::shared_ptr<pass>;
 
-    void read_on(pass_ptr const& one);
-    void page_read(pass_ptr const& one, range_result const& page);
-    void remove_on(pass_ptr const& one);
+    void read_next_page(pass_ptr const& state);
+    void handle_page(pass_ptr const& state, range_result const& page);
+    void remove_next_batch(pass_ptr const& state);
 
     versioned_store store_;
     utc_fn utc_;
@@ -85,7 +85,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// \return the tables of accounts and of kept turns.
+/// \return the tables of accounts and of stored turns.
 std::vector<swept_table> swept_tables();
 
 } // namespace walnutmill
--- a/src/entry/store_client.cpp
+++ b/src/entry/store_client.cpp
@@ -16,58 +16,61 @@
 using platform::store_reply;
 using std::chrono::milliseconds;
 
-/// Shortest and longest wait for one answer. Answers usually take 4 to 10 ms;
-/// at times sixty times as long, and a transaction over two tables twice
-/// that.
-constexpr milliseconds shortest_attempt{80};
-constexpr milliseconds longest_attempt{1'500};
-/// An attempt waits for this many times the usual answer.
-constexpr int attempt_factor = 8;
-/// Pause before an attempt after one that was turned away; doubles, and is
-/// spread by half. A spell over the store's rate ends only if those turned
-/// away leave it alone: with pauses of 150 ms at most 80 nodes made 9,000
-/// attempts a second at a store that takes 1,500, without an end.
-constexpr milliseconds shortest_pause{15};
-constexpr milliseconds longest_pause{500};
-constexpr int most_doublings = 5;
-constexpr milliseconds first_usual_time{10};
-/// The store counts as lost when nothing has been answered, over any way, for
-/// this long: longer than a spell of refusals by rate (100 ms), shorter than a
-/// caller's target latency. Readings of configuration and engines, some four a
-/// second, go on and find it again.
+/// Bounds of the timeout of one attempt. Replies usually take 4 to 10 ms and at
+/// times sixty times as long; a transaction over two tables takes twice that.
+constexpr milliseconds min_attempt_timeout{80};
+constexpr milliseconds max_attempt_timeout{1'500};
+/// Attempt timeout as a multiple of the mean latency.
+constexpr int attempt_timeout_factor = 8;
+/// Bounds of the exponential retry delay, which has a jitter of one half. A
+/// store over its rate limit recovers only if rejected callers back off: with
+/// delays of at most 150 ms, 80 nodes made 9,000 attempts a second at a store
+/// that takes 1,500, and the overload did not end.
+constexpr milliseconds min_retry_delay{15};
+constexpr milliseconds max_retry_delay{500};
+constexpr int max_doublings = 5;
+constexpr milliseconds initial_mean_latency{10};
+/// The store counts as lost when no call has been answered over any path for
+/// this long. The value is above the duration of a burst of rate-limit
+/// rejections (100 ms) and below a caller's target latency. Reads of the
+/// configuration and the engines, about four a second, continue meanwhile and
+/// detect the recovery.
 constexpr milliseconds lost_after{300};
-/// Attempts begun while the store is lost wait no longer than this: one that
-/// was sent into a silent store just before its return would hold its call for
-/// the longest attempt. Above what an answer takes when it takes sixty times as
-/// long (540 ms), as a store that is slow counts as lost between two answers.
-constexpr milliseconds longest_while_lost{600};
-/// A lost store is asked by itself this often, straight and over connections
-/// that are given up soon, so that a node knows of its return within some
-/// 150 ms. By waiting attempts alone nodes took 420 to 620 ms.
-constexpr milliseconds probe_every{150};
-constexpr milliseconds probe_patience{400};
-/// All nodes together probe at most 500 times a second, a quarter of what the
-/// smallest site's store takes.
-constexpr milliseconds probe_every_per_node{2};
-constexpr int status_turned_away = 503;
+/// Upper bound of the timeout of attempts started while the store is lost. An
+/// attempt sent just before the store recovers would otherwise delay its call
+/// by the maximum attempt timeout. The value is above a reply that takes sixty
+/// times as long as usual (540 ms), because a slow store counts as lost between
+/// two replies.
+constexpr milliseconds max_attempt_timeout_while_lost{600};
+/// Interval and timeout of the probes of a lost store. Probes use the direct
+/// path and a short timeout, so that a node detects the recovery within about
+/// 150 ms. With pending attempts alone, detection takes 420 to 620 ms.
+constexpr milliseconds probe_interval{150};
+constexpr milliseconds probe_timeout{400};
+/// Limits all nodes together to 500 probes a second, a quarter of the capacity
+/// of the store at the smallest site.
+constexpr milliseconds probe_interval_per_node{2};
+constexpr int status_unavailable = 503;
 
 /// \return the partition that a transaction's rows share.
-std::string partition_of(row_transaction const& one)
+std::string partition_of(row_transaction const& transaction)
 {
-    if (!one.writes.empty())
-        return one.writes.front().at.partition;
-    if (!one.removals.empty())
-        return one.removals.front().partition;
-    return one.conditions.empty() ? std::string()
-                                  : one.conditions.front().at.partition;
+    if (!transaction.writes.empty())
+        return transaction.writes.front().at.partition;
+    if (!transaction.removals.empty())
+        return transaction.removals.front().partition;
+    return transaction.conditions.empty()
+               ? std::string()
+               : transaction.conditions.front().at.partition;
 }
 
 /// \return the table of a transaction's first row.
-std::string table_of(row_transaction const& one)
+std::string table_of(row_transaction const& transaction)
 {
-    if (!one.writes.empty())
-        return one.writes.front().at.table;
-    return one.removals.empty() ? std::string() : one.removals.front().table;
+    if (!transaction.writes.empty())
+        return transaction.writes.front().at.table;
+    return transaction.removals.empty() ? std::string()
+                                        : transaction.removals.front().table;
 }
 
 time_point now()
@@ -81,19 +84,19 @@
 struct store_client::pending
 {
     platform::store_request request;
-    /// Where its rows lie: all share a partition.
+    /// Partition of all rows of the call.
     std::string partition;
-    /// What is called, for the counters: "commit" or "read", and the table.
+    /// Metric labels: the operation ("commit" or "read") and the table.
     std::string_view verb;
     std::string table;
-    time_point give_up_at;
+    time_point deadline;
     int attempts = 0;
-    when_lost then = when_lost::try_on;
-    /// An attempt went without an answer that tells its fate.
+    when_lost policy = when_lost::try_on;
+    /// An attempt was sent but not answered, so its outcome is unknown.
     bool in_doubt = false;
     bool ended = false;
     std::function<void(store_outcome, store_reply const&, bool in_doubt)> done;
-    std::shared_ptr<boost::asio::steady_timer> pause;
+    std::shared_ptr<boost::asio::steady_timer> delay;
 };
 
 store_client::store_client(
@@ -101,7 +104,7 @@
     hooks to)
     : io_(io), address_(std::move(address)), random_(random),
       hooks_(std::move(to)), paths_(random), caller_(io),
-      usual_time_(first_usual_time), probe_timer_(io)
+      mean_latency_(initial_mean_latency), probe_timer_(io)
 {
 }
 
@@ -121,19 +124,19 @@
     paths_.set_relays(std::move(relays));
 }
 
-versioned_store store_client::calls(when_lost then)
+versioned_store store_client::calls(when_lost policy)
 {
     versioned_store to;
-    to.commit = [this, then](
-                    row_transaction const& one, milliseconds patience,
+    to.commit = [this, policy](
+                    row_transaction const& transaction, milliseconds timeout,
                     std::function<void(transaction_result)> done)
     {
         auto call = std::make_shared<pending>();
-        call->request = platform::encode_transaction(one);
-        call->partition = partition_of(one);
+        call->request = platform::encode_transaction(transaction);
+        call->partition = partition_of(transaction);
         call->verb = "commit";
-        call->table = table_of(one);
-        call->give_up_at = now() + patience;
+        call->table = table_of(transaction);
+        call->deadline = now() + timeout;
         call->done =
             [done = std::move(done)](
                 store_outcome outcome, store_reply const& reply, bool in_doubt)
@@ -146,10 +149,10 @@
             result.in_doubt = in_doubt || (outcome != result.outcome);
             done(std::move(result));
         };
-        start(call, then);
+        start(call, policy);
     };
-    to.read = [this, then](
-                  row_range const& range, milliseconds patience,
+    to.read = [this, policy](
+                  row_range const& range, milliseconds timeout,
                   std::function<void(range_result)> done)
     {
         auto call = std::make_shared<pending>();
@@ -157,7 +160,7 @@
         call->partition = range.partition;
         call->verb = "read";
         call->table = range.table;
-        call->give_up_at = now() + patience;
+        call->deadline = now() + timeout;
         call->done = [done = std::move(done)](
                          store_outcome outcome, store_reply const& reply, bool)
         {
@@ -168,7 +171,7 @@
                 result.outcome = store_outcome::unavailable;
             done(std::move(result));
         };
-        start(call, then);
+        start(call, policy);
     };
     to.answers = [this](std::string const& partition)
     { return !lost(partition); };
@@ -190,75 +193,79 @@
 {
     if (lost())
         return true;
-    auto const found = silent_since_.find(partition);
-    return found != silent_since_.end() && now() - found->second >= lost_after;
+    auto const found = partition_failing_since_.find(partition);
+    return found != partition_failing_since_.end() &&
+           now() - found->second >= lost_after;
 }
 
-void store_client::start(pending_ptr const& one, when_lost then)
+void store_client::start(pending_ptr const& call, when_lost policy)
 {
-    one->then = then;
-    // Never from within the caller's own call: its state may be half set.
+    call->policy = policy;
+    // Posted, because the caller's state may be incomplete during its call.
     boost::asio::post(
         io_,
-        [this, alive = alive_, one]
+        [this, alive = alive_, call]
         {
             if (!*alive)
                 return;
-            if (one->then == when_lost::fail_at_once && lost(one->partition))
-                give_up(one);
+            if (call->policy == when_lost::fail_at_once &&
+                lost(call->partition))
+                fail(call);
             else
-                try_once(one);
+                send_next_attempt(call);
         });
 }
 
-duration store_client::attempt_patience(pending const& one) const
+duration store_client::attempt_timeout(pending const& call) const
 {
-    auto const usual = usual_time_ * attempt_factor * (one.attempts + 1);
-    duration const longest =
-        lost(one.partition) ? longest_while_lost : longest_attempt;
-    return std::clamp<duration>(usual, shortest_attempt, longest);
+    auto const usual =
+        mean_latency_ * attempt_timeout_factor * (call.attempts + 1);
+    duration const longest = lost(call.partition)
+                                 ? max_attempt_timeout_while_lost
+                                 : max_attempt_timeout;
+    return std::clamp<duration>(usual, min_attempt_timeout, longest);
 }
 
-void store_client::try_once(pending_ptr const& one)
+void store_client::send_next_attempt(pending_ptr const& call)
 {
     auto const at = now();
-    if (at >= one->give_up_at)
+    if (at >= call->deadline)
     {
-        give_up(one);
+        fail(call);
         return;
     }
     auto const path = paths_.choose(at);
     auto const& address = path.direct() ? address_ : path.relay;
-    auto const patience =
-        one->then == when_lost::try_once
-            ? one->give_up_at - at
-            : std::min(attempt_patience(*one), one->give_up_at - at);
-    ++one->attempts;
+    auto const timeout =
+        call->policy == when_lost::try_once
+            ? call->deadline - at
+            : std::min(attempt_timeout(*call), call->deadline - at);
+    ++call->attempts;
     send_attempt(
-        address, one->request, patience,
-        [this, alive = alive_, one, path](http_reply reply)
+        address, call->request, timeout,
+        [this, alive = alive_, call, path](http_reply reply)
         {
             if (*alive)
-                attempt_ended(one, path, std::move(reply));
+                attempt_ended(call, path, std::move(reply));
         });
 }
 
 void store_client::send_attempt(
     std::string const& address, platform::store_request const& request,
-    duration patience, http_caller::done_fn done)
+    duration timeout, http_caller::done_fn done)
 {
     caller_.call(
-        address, platform::frame(request, address), patience,
+        address, platform::frame(request, address), timeout,
         [this, done = std::move(done)](http_reply reply)
         {
             if (reply.answered)
-                usual_time_ = (usual_time_ * 7 + reply.took) / 8;
+                mean_latency_ = (mean_latency_ * 7 + reply.took) / 8;
             done(std::move(reply));
         });
 }
 
 void store_client::attempt_ended(
-    pending_ptr const& one, store_path const& path, http_reply reply)
+    pending_ptr const& call, store_path const& path, http_reply reply)
 {
     store_reply const answer{reply.status, std::move(reply.body)};
     auto const turned_away =
@@ -266,8 +273,8 @@
     if (reply.answered && !turned_away)
     {
         paths_.succeeded(path, now());
-        note_success(one->partition);
-        deliver(one, answer);
+        record_success(call->partition);
+        deliver(call, answer);
         return;
     }
     if (hooks_.counters != nullptr)
@@ -276,90 +283,91 @@
             reply.answered ? "walnutmill_store_attempts_turned_away_total"
                            : "walnutmill_store_attempts_unanswered_total");
     }
-    // A partition that is away says nothing of the way to the others.
-    if (lost() || !lost(one->partition))
+    // An unreachable partition does not indicate that the path is faulty.
+    if (lost() || !lost(call->partition))
         paths_.failed(path, now());
-    one->in_doubt = one->in_doubt || (!reply.answered && reply.sent);
-    note_failure(one->partition, reply.answered ? "turned away" : "no answer");
-    retry_later(one);
+    call->in_doubt = call->in_doubt || (!reply.answered && reply.sent);
+    record_failure(
+        call->partition, reply.answered ? "turned away" : "no answer");
+    schedule_retry(call);
 }
 
-void store_client::retry_later(pending_ptr const& one)
+void store_client::schedule_retry(pending_ptr const& call)
 {
-    // The first attempt over another way need not wait.
-    auto const at_once = one->attempts == 1 && !paths_.direct_works(now());
-    if ((one->then == when_lost::try_once && !at_once) ||
-        (one->then == when_lost::fail_at_once && lost(one->partition)))
+    // The first attempt over a relay needs no delay.
+    auto const at_once = call->attempts == 1 && !paths_.direct_available(now());
+    if ((call->policy == when_lost::try_once && !at_once) ||
+        (call->policy == when_lost::fail_at_once && lost(call->partition)))
     {
-        give_up(one);
+        fail(call);
         return;
     }
-    auto const spread = 0.5 + random_();
-    auto const pause = std::min<duration>(
-        shortest_pause * (1 << std::min(one->attempts, most_doublings)),
-        longest_pause);
+    auto const jitter = 0.5 + random_();
+    auto const delay = std::min<duration>(
+        min_retry_delay * (1 << std::min(call->attempts, max_doublings)),
+        max_retry_delay);
     auto const wait = duration(static_cast<duration::rep>(
-        static_cast<double>(pause.count()) * spread));
-    one->pause = std::make_shared<boost::asio::steady_timer>(
+        static_cast<double>(delay.count()) * jitter));
+    call->delay = std::make_shared<boost::asio::steady_timer>(
         io_, at_once ? duration(0) : wait);
-    one->pause->async_wait(
-        [this, alive = alive_, one](boost::system::error_code const& error)
+    call->delay->async_wait(
+        [this, alive = alive_, call](boost::system::error_code const& error)
         {
             if (!error && *alive)
-                try_once(one);
+                send_next_attempt(call);
         });
 }
 
-void store_client::give_up(pending_ptr const& one) const
+void store_client::fail(pending_ptr const& call) const
 {
     if (hooks_.counters != nullptr)
         hooks_.counters->count("walnutmill_store_calls_failed_total");
-    one->done(store_outcome::unavailable, {}, one->in_doubt);
+    call->done(store_outcome::unavailable, {}, call->in_doubt);
 }
 
 void store_client::deliver(
-    pending_ptr const& one, store_reply const& reply) const
+    pending_ptr const& call, store_reply const& reply) const
 {
     if (hooks_.counters != nullptr)
     {
         hooks_.counters->count(
-            "walnutmill_store_calls_total{call=\"" + std::string(one->verb) +
-            "\",table=\"" + one->table + "\"}");
+            "walnutmill_store_calls_total{call=\"" + std::string(call->verb) +
+            "\",table=\"" + call->table + "\"}");
     }
     auto const kind = platform::kind_of(reply);
     auto const outcome =
         kind == platform::reply_kind::done       ? store_outcome::done
         : kind == platform::reply_kind::conflict ? store_outcome::conflict
                                                  : store_outcome::unavailable;
-    one->done(outcome, reply, one->in_doubt);
+    call->done(outcome, reply, call->in_doubt);
 }
 
-void store_client::note_success(std::string const& partition)
+void store_client::record_success(std::string const& partition)
 {
-    if (failing_since_ == time_point{} && silent_since_.empty())
+    if (failing_since_ == time_point{} && partition_failing_since_.empty())
         return;
     auto const was_lost = lost();
-    // Partitions that went together come back together: the others are tried
-    // anew, and count as lost again where that fails.
+    // Partitions that fail together usually recover together. The others are
+    // retried, and count as lost again if that fails.
     if (was_lost || lost(partition))
-        silent_since_.clear();
+        partition_failing_since_.clear();
     else
-        silent_since_.erase(partition);
+        partition_failing_since_.erase(partition);
     if (failing_since_ == time_point{})
         return;
     failing_since_ = {};
     if (hooks_.on_change)
         hooks_.on_change(true, "answered");
-    if (was_lost && hooks_.on_return)
-        hooks_.on_return();
+    if (was_lost && hooks_.on_recovery)
+        hooks_.on_recovery();
 }
 
-void store_client::note_failure(
+void store_client::record_failure(
     std::string const& partition, std::string_view why)
 {
     auto const probing =
-        failing_since_ != time_point{} || !silent_since_.empty();
-    silent_since_.emplace(partition, now());
+        failing_since_ != time_point{} || !partition_failing_since_.empty();
+    partition_failing_since_.emplace(partition, now());
     if (failing_since_ == time_point{})
     {
         failing_since_ = now();
@@ -367,34 +375,36 @@
             hooks_.on_change(false, why);
     }
     if (!probing)
-        probe_later(probe_every);
+        schedule_probe(probe_interval);
 }
 
-void store_client::probe_later(duration after)
+void store_client::schedule_probe(duration after)
 {
     probe_timer_.expires_after(after);
     probe_timer_.async_wait(
         [this, alive = alive_](boost::system::error_code const& error)
         {
-            auto const failing =
-                failing_since_ != time_point{} || !silent_since_.empty();
+            auto const failing = failing_since_ != time_point{} ||
+                                 !partition_failing_since_.empty();
             if (!error && *alive && failing)
                 probe();
         });
 }
 
-/// While nothing is answered, one that has not failed is asked: a node with
-/// little to do may have called a single partition, whose silence says nothing
-/// of the store. Otherwise one of the silent ones, drawn at random.
+/// Selects a random partition to probe. While no call is answered, it prefers
+/// partitions that have not failed: a node with little load may have called
+/// only one partition, whose failure does not show that the store is
+/// unreachable. Otherwise it selects one of the failing partitions.
 std::string store_client::partition_to_probe()
 {
     auto const all = all_partitions();
-    std::vector<std::string> silent;
+    std::vector<std::string> failing;
     std::vector<std::string> others;
-    for (auto const& one : all)
-        (silent_since_.count(one) > 0 ? silent : others).push_back(one);
+    for (auto const& partition : all)
+        (partition_failing_since_.count(partition) > 0 ? failing : others)
+            .push_back(partition);
     auto const& from =
-        failing_since_ != time_point{} && !others.empty() ? others : silent;
+        failing_since_ != time_point{} && !others.empty() ? others : failing;
     if (from.empty())
         return {};
     auto const drawn =
@@ -402,14 +412,14 @@
     return from[std::min(drawn, from.size() - 1)];
 }
 
-/// Reads nothing, from a table that nobody writes.
+/// Sends a read of a table that is never written.
 void store_client::probe()
 {
     auto const partition = partition_to_probe();
     auto const nothing =
         platform::encode_range({"walnutmill-probe", partition, {}, {}});
     caller_.call(
-        address_, platform::frame(nothing, address_), probe_patience,
+        address_, platform::frame(nothing, address_), probe_timeout,
         [this, alive = alive_, partition](http_reply const& reply)
         {
             store_reply const answer{reply.status, reply.body};
@@ -417,25 +427,25 @@
                 platform::kind_of(answer) == platform::reply_kind::turned_away)
                 return;
             paths_.succeeded({}, now());
-            note_success(partition);
+            record_success(partition);
         });
-    auto const spread = 0.75 + random_() / 2;
-    auto const pause = std::max<duration>(
-        probe_every, probe_every_per_node * static_cast<int>(nodes_));
-    probe_later(duration(static_cast<duration::rep>(
-        static_cast<double>(pause.count()) * spread)));
+    auto const jitter = 0.75 + random_() / 2;
+    auto const delay = std::max<duration>(
+        probe_interval, probe_interval_per_node * static_cast<int>(nodes_));
+    schedule_probe(duration(static_cast<duration::rep>(
+        static_cast<double>(delay.count()) * jitter)));
 }
 
 void store_client::carry(
     platform::store_request const& request, reply_fn const& to)
 {
-    if (!paths_.direct_works(now()))
+    if (!paths_.direct_available(now()))
     {
-        to({status_turned_away, {}});
+        to({status_unavailable, {}});
         return;
     }
     send_attempt(
-        address_, request, longest_attempt,
+        address_, request, max_attempt_timeout,
         [this, alive = alive_, to](http_reply reply)
         {
             if (!*alive)
@@ -450,9 +460,10 @@
                 paths_.failed({}, now());
             if (!reply.answered)
             {
-                // Sent but not answered, the call may have been done: status
-                // 0 says so, and the node that asked gets no answer either.
-                answer.status = reply.sent ? 0 : status_turned_away;
+                // A call that was sent but not answered may have taken effect.
+                // Status 0 reports this, and the requesting node receives no
+                // reply either.
+                answer.status = reply.sent ? 0 : status_unavailable;
             }
             to(std::move(answer));
         });
--- a/src/entry/store_client.hpp
+++ b/src/entry/store_client.hpp
@@ -2,9 +2,10 @@
 #define WALNUTMILL_SRC_ENTRY_STORE_CLIENT_HPP
 
 /// \file
-/// The one client of the platform's store: keeps connections, times attempts,
-/// repeats them, and goes through another node where the store turns this
-/// one away.
+/// The node's single client of the platform's store. It keeps connections
+/// open, bounds each attempt by a timeout, retries with backoff, and relays
+/// calls through a peer while the store rejects this node. Without it a short
+/// store fault or rejection would fail every call in progress.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/metrics.hpp>
@@ -34,10 +35,10 @@
 
     struct hooks
     {
-        /// The store became reachable or unreachable over all ways.
+        /// The store became reachable, or unreachable over all paths.
         std::function<void(bool reachable, std::string_view why)> on_change;
-        /// The store answers again after it counted as lost.
-        std::function<void()> on_return;
+        /// The store became reachable again after it counted as lost.
+        std::function<void()> on_recovery;
         metrics* counters = nullptr;
     };
 
@@ -48,57 +49,62 @@
     store_client(store_client const&) = delete;
     store_client& operator=(store_client const&) = delete;
 
+    /// Sets IP:PORT of the store; used by attempts started afterwards.
     void set_address(std::string address);
+    /// Sets IP:PORT of the peers that may relay calls.
     void set_relays(std::vector<std::string> relays);
 
-    /// What a call does while the store answers nobody.
+    /// How a call behaves while the store is unreachable.
     enum class when_lost
     {
-        /// Goes on trying until its patience ends.
+        /// Retries until the call's timeout.
         try_on,
-        /// Ends at once, so that its caller can be told to come back.
+        /// Fails at once, so that the caller can be asked to retry later.
         fail_at_once,
-        /// Makes a single attempt for as long as its patience, lost or not, and
-        /// one over another way if the straight one turned it away: for calls
-        /// of all nodes on one partition, whose attempts wait for each other
-        /// there and, repeated, keep it full.
+        /// Makes a single attempt that lasts for the call's whole timeout, even
+        /// while the store is unreachable. A second attempt follows over a
+        /// relay if the direct one failed. Meant for calls that all
+        /// nodes make on one partition: their attempts queue there, and retries
+        /// would keep the partition saturated.
         try_once
     };
 
-    /// \return the calls; they end when the client does.
-    versioned_store calls(when_lost then);
+    /// \return the store's calls, valid for the lifetime of the client.
+    versioned_store calls(when_lost policy);
 
-    /// Carries another node's call, straight only.
-    /// \param to gets status 503 where the store could not be reached
+    /// Relays a call of another node over the direct path only.
+    /// \param to receives the reply; status 503 if the store was not reached,
+    /// status 0 if the call was sent but not answered
     void carry(platform::store_request const& request, reply_fn const& to);
 
-    /// \return for how long the store has answered nobody; zero while it does.
+    /// \return for how long the store has been unreachable; zero while it is
+    /// reachable.
     duration lost_for() const;
 
 private:
     struct pending;
     using pending_ptr = std::shared_ptr<pending>;
 
-    void start(pending_ptr const& one, when_lost then);
+    void start(pending_ptr const& call, when_lost policy);
     bool lost() const;
     bool lost(std::string const& partition) const;
-    void try_once(pending_ptr const& one);
+    void send_next_attempt(pending_ptr const& call);
     void attempt_ended(
-        pending_ptr const& one, store_path const& path, http_reply reply);
-    void retry_later(pending_ptr const& one);
-    void give_up(pending_ptr const& one) const;
+        pending_ptr const& call, store_path const& path, http_reply reply);
+    void schedule_retry(pending_ptr const& call);
+    void fail(pending_ptr const& call) const;
     void
-    deliver(pending_ptr const& one, platform::store_reply const& reply) const;
-    void note_success(std::string const& partition);
-    void note_failure(std::string const& partition, std::string_view why);
+    deliver(pending_ptr const& call, platform::store_reply const& reply) const;
+    void record_success(std::string const& partition);
+    void record_failure(std::string const& partition, std::string_view why);
     std::string partition_to_probe();
-    void probe_later(duration after);
+    void schedule_probe(duration after);
     void probe();
 
-    duration attempt_patience(pending const& one) const;
+    duration attempt_timeout(pending const& call) const;
     void send_attempt(
         std::string const& address, platform::store_request const& request,
-        duration patience, http_caller::done_fn done);
+        duration timeout, http_caller::done_fn done);
 
     boost::asio::io_context& io_;
     std::string address_;
@@ -106,15 +112,16 @@
     hooks hooks_;
     store_paths paths_;
     http_caller caller_;
-    /// Moving average of answers' times; sets how long attempts wait.
-    duration usual_time_;
-    /// Since when nothing has been answered; the epoch: the last call was.
+    /// Moving average of the reply latency; determines attempt timeouts.
+    duration mean_latency_;
+    /// Time of the first failure since the last reply; the epoch if the last
+    /// call was answered.
     time_point failing_since_{};
-    /// The same by partition, of those that failed last: a part of them may be
-    /// away while the others serve.
-    std::unordered_map<std::string, time_point> silent_since_;
+    /// The same for each partition whose last call failed: some partitions may
+    /// be unreachable while the others serve.
+    std::unordered_map<std::string, time_point> partition_failing_since_;
     boost::asio::steady_timer probe_timer_;
-    /// Nodes that may probe at the same time, this one included.
+    /// Number of nodes that may probe concurrently, including this one.
     std::size_t nodes_ = 1;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/entry/store_paths.cpp
+++ b/src/entry/store_paths.cpp
@@ -16,34 +16,35 @@
     relays_ = std::move(relays);
 }
 
-bool store_paths::direct_works(time_point now) const
+bool store_paths::direct_available(time_point now) const
 {
     auto const found = health_.find(std::string());
-    return found == health_.end() || found->second.rests_until <= now;
+    return found == health_.end() || found->second.retry_at <= now;
 }
 
-std::optional<std::string> store_paths::resting_free_relay(time_point now)
+std::optional<std::string> store_paths::pick_available_relay(time_point now)
 {
-    // A few draws find a free relay unless nearly all rest.
-    constexpr int draws = 4;
-    for (int i = 0; i < draws && !relays_.empty(); ++i)
+    // A few random draws find an available relay unless nearly all relays are
+    // in backoff.
+    constexpr int max_draws = 4;
+    for (int i = 0; i < max_draws && !relays_.empty(); ++i)
     {
-        auto const at = std::min(
+        auto const index = std::min(
             relays_.size() - 1,
             static_cast<std::size_t>(
                 random_() * static_cast<double>(relays_.size())));
-        auto const found = health_.find(relays_[at]);
-        if (found == health_.end() || found->second.rests_until <= now)
-            return relays_[at];
+        auto const found = health_.find(relays_[index]);
+        if (found == health_.end() || found->second.retry_at <= now)
+            return relays_[index];
     }
     return std::nullopt;
 }
 
 store_path store_paths::choose(time_point now)
 {
-    if (direct_works(now))
+    if (direct_available(now))
         return {};
-    if (auto relay = resting_free_relay(now))
+    if (auto relay = pick_available_relay(now))
         return {std::move(*relay)};
     return {};
 }
@@ -56,12 +57,12 @@
 void store_paths::failed(store_path const& path, time_point now)
 {
     auto& state = health_[path.relay];
-    if (state.rests_until > now)
+    if (state.retry_at > now)
         return;
-    state.rest = state.rest.count() == 0
-                     ? options_.first_rest
-                     : std::min(state.rest * 2, options_.longest_rest);
-    state.rests_until = now + state.rest;
+    state.backoff = state.backoff.count() == 0
+                        ? options_.initial_backoff
+                        : std::min(state.backoff * 2, options_.max_backoff);
+    state.retry_at = now + state.backoff;
 }
 
 } // namespace walnutmill
--- a/src/entry/store_paths.hpp
+++ b/src/entry/store_paths.hpp
@@ -2,13 +2,13 @@
 #define WALNUTMILL_SRC_ENTRY_STORE_PATHS_HPP
 
 /// \file
-/// Which way a call to the store takes: straight, or through another node
+/// Selects the path of a call to the store: direct, or relayed by a peer node
 /// that the store still serves.
 ///
-/// Load pattern: the store turns some machines away (at once, or by silence)
-/// while it serves the others. Without this module those machines refuse all
-/// new programs for as long as that lasts (nine seconds seen), although a
-/// neighbor one millisecond away could carry their calls.
+/// Load pattern: the store rejects some machines, or does not reply to them,
+/// while it serves the others. Without this module those machines reject all
+/// new programs for the duration of the fault, which can last nine seconds,
+/// although a peer one millisecond away could relay their calls.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/random.hpp>
@@ -23,10 +23,10 @@
 namespace walnutmill
 {
 
-/// One way to the store.
+/// A path to the store.
 struct store_path
 {
-    /// IP:PORT of the node that carries the call; empty: straight.
+    /// IP:PORT of the node that relays the call; empty for the direct path.
     std::string relay;
 
     bool direct() const { return relay.empty(); }
@@ -34,11 +34,12 @@
 
 struct store_path_options
 {
-    /// How long a way that failed is left alone: doubles from the first to
-    /// the second. The store is back for all within two seconds of an outage
-    /// (platform's page), so a longer rest would add to it.
-    duration first_rest = std::chrono::milliseconds(100);
-    duration longest_rest = std::chrono::milliseconds(1'000);
+    /// Backoff of a failed path: doubles with each failure from the initial to
+    /// the maximum value. According to the platform's documentation the store
+    /// serves all nodes again within two seconds of an outage, so a longer
+    /// backoff would prolong the outage.
+    duration initial_backoff = std::chrono::milliseconds(100);
+    duration max_backoff = std::chrono::milliseconds(1'000);
 };
 
 class store_paths
@@ -46,32 +47,34 @@
 public:
     store_paths(random_fn random, store_path_options options = {});
 
-    /// Nodes that may carry calls.
+    /// Sets IP:PORT of the nodes that may relay calls.
     void set_relays(std::vector<std::string> relays);
 
-    /// \return the way for the next attempt; a way that rests only where all
-    /// do: then the straight one.
+    /// \return the path for the next attempt: direct if available, else an
+    /// available relay. Falls back to the direct path if no relay is found.
     store_path choose(time_point now);
 
+    /// Ends the path's backoff.
     void succeeded(store_path const& path, time_point now);
+    /// Starts a backoff of the path, unless one is in progress.
     void failed(store_path const& path, time_point now);
 
-    /// \return false while the straight way rests after a failure.
-    bool direct_works(time_point now) const;
+    /// \return false while the direct path is in backoff after a failure.
+    bool direct_available(time_point now) const;
 
 private:
     struct health
     {
-        time_point rests_until{};
-        duration rest{0};
+        time_point retry_at{};
+        duration backoff{0};
     };
 
-    std::optional<std::string> resting_free_relay(time_point now);
+    std::optional<std::string> pick_available_relay(time_point now);
 
     random_fn random_;
     store_path_options options_;
     std::vector<std::string> relays_;
-    /// Keyed by relay; the empty key is the straight way.
+    /// Keyed by relay; the empty key is the direct path.
     std::unordered_map<std::string, health> health_;
 };
 
--- a/test/row_sweeper-test.cpp
+++ b/test/row_sweeper-test.cpp
@@ -25,7 +25,7 @@
     utc_fn utc = [this] { return now; };
     row_sweeper sweeper{store.calls(), utc, swept_tables()};
 
-    void keep_turn(std::string const& id, std::size_t bytes)
+    void store_turn(std::string const& id, std::size_t bytes)
     {
         history_options options;
         options.utc = utc;
@@ -37,7 +37,7 @@
         store.run();
     }
 
-    void spend(std::string const& program)
+    void admit_program(std::string const& program)
     {
         ledger_options options;
         options.utc = utc;
@@ -62,45 +62,45 @@
 
 } // namespace
 
-TEST_CASE_METHOD(sweeper_fixture, "sweeper: rows in use are left alone")
+TEST_CASE_METHOD(sweeper_fixture, "sweeper: rows in use are retained")
 {
-    keep_turn("t1", 100);
-    spend("p1");
+    store_turn("t1", 100);
+    admit_program("p1");
     now += 600;
     CHECK(sweep_all() == 0);
     CHECK(store.rows() == 2);
 }
 
 TEST_CASE_METHOD(
-    sweeper_fixture, "sweeper: old accounts and turns go with all their pieces")
+    sweeper_fixture,
+    "sweeper: expired accounts and turns are removed with all pieces")
 {
-    keep_turn("t1", 100);
-    keep_turn("t2", 200'000);
-    spend("p1");
+    store_turn("t1", 100);
+    store_turn("t2", 200'000);
+    admit_program("p1");
     now += 700;
-    keep_turn("t3", 100);
+    store_turn("t3", 100);
     CHECK(sweep_all() == 3);
     CHECK(store.rows() == 1);
 }
 
 TEST_CASE_METHOD(
-    sweeper_fixture, "sweeper: many rows are removed in several changes")
+    sweeper_fixture, "sweeper: many rows are removed in several transactions")
 {
     for (int i = 0; i < 4'000; ++i)
-        spend("p" + std::to_string(i));
+        admit_program("p" + std::to_string(i));
     now += 700;
     CHECK(sweep_all() == 4'000);
     CHECK(store.rows() == 0);
 }
 
-TEST_CASE_METHOD(
-    sweeper_fixture, "sweeper: faults of the store only leave rows for later")
+TEST_CASE_METHOD(sweeper_fixture, "sweeper: store faults only delay removal")
 {
     for (std::size_t step = 1; step <= 8; ++step)
     {
         for (auto const fault : all_store_faults)
         {
-            keep_turn("t" + std::to_string(step), 100);
+            store_turn("t" + std::to_string(step), 100);
             now += 700;
             store.fail_step(store.steps() + step, fault);
             sweep_all();
--- a/test/store_paths-test.cpp
+++ b/test/store_paths-test.cpp
@@ -17,24 +17,23 @@
 
 } // namespace
 
-TEST_CASE_METHOD(paths_fixture, "store paths: the straight way comes first")
+TEST_CASE_METHOD(paths_fixture, "store paths: the direct path is preferred")
 {
     paths.set_relays({"a:1", "b:1"});
     CHECK(paths.choose(clock.now()).direct());
 }
 
 TEST_CASE_METHOD(
-    paths_fixture, "store paths: another node carries calls after a failure")
+    paths_fixture, "store paths: another node relays calls after a failure")
 {
     paths.set_relays({"a:1", "b:1"});
     paths.failed({}, clock.now());
     CHECK_FALSE(paths.choose(clock.now()).direct());
-    CHECK_FALSE(paths.direct_works(clock.now()));
+    CHECK_FALSE(paths.direct_available(clock.now()));
 }
 
 TEST_CASE_METHOD(
-    paths_fixture,
-    "store paths: the straight way is tried again after its rest")
+    paths_fixture, "store paths: the direct path is retried after its backoff")
 {
     paths.set_relays({"a:1"});
     paths.failed({}, clock.now());
@@ -43,18 +42,17 @@
 }
 
 TEST_CASE_METHOD(
-    paths_fixture, "store paths: rests grow, but not beyond a second")
+    paths_fixture, "store paths: backoff grows to at most a second")
 {
     for (int i = 0; i < 10; ++i)
     {
         paths.failed({}, clock.now());
         clock.advance(milliseconds(1'000));
-        CHECK(paths.direct_works(clock.now()));
+        CHECK(paths.direct_available(clock.now()));
     }
 }
 
-TEST_CASE_METHOD(
-    paths_fixture, "store paths: a node that failed is passed over")
+TEST_CASE_METHOD(paths_fixture, "store paths: a relay that failed is skipped")
 {
     paths.set_relays({"a:1", "b:1"});
     paths.failed({}, clock.now());
@@ -63,9 +61,7 @@
         CHECK(paths.choose(clock.now()).relay != "a:1");
 }
 
-TEST_CASE_METHOD(
-    paths_fixture,
-    "store paths: without any way left the straight one is taken")
+TEST_CASE_METHOD(paths_fixture, "store paths: the direct path is the fallback")
 {
     paths.set_relays({"a:1"});
     paths.failed({}, clock.now());
--- a/test/store_return-test.cpp
+++ b/test/store_return-test.cpp
@@ -17,17 +17,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A client of the stand-in store, on the test's own loop.
+/// A client of the simulated store, on the test's own event loop.
 struct store_return_fixture
 {
     boost::asio::io_context io;
     standin_rows store;
-    int returns = 0;
+    int recoveries = 0;
     store_client client{
         io,
         store.address(),
         seeded_random(3),
-        {{}, [this] { ++returns; }, nullptr}};
+        {{}, [this] { ++recoveries; }, nullptr}};
 
     template<class Condition>
     bool comes_true(Condition const& condition)
@@ -62,13 +62,13 @@
 
 TEST_CASE_METHOD(
     store_return_fixture,
-    "store client: a return is noticed without any call under way")
+    "store client: recovery is detected without any pending call")
 {
     store.set_down(true);
     REQUIRE(read_once() == store_outcome::unavailable);
-    CHECK(returns == 0);
+    CHECK(recoveries == 0);
     store.set_down(false);
-    CHECK(comes_true([&] { return returns == 1; }));
+    CHECK(comes_true([&] { return recoveries == 1; }));
     CHECK(read_once() == store_outcome::done);
 }
 
@@ -96,7 +96,7 @@
                   "\"other\"} 1") != std::string::npos);
 }
 
-TEST_CASE("platform view: a refresh reads all at once")
+TEST_CASE("platform view: a refresh starts all reads at once")
 {
     boost::asio::io_context io;
     fake_store rows;
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE_METHOD(
-    entry_world, "entry: without a configuration callers come back later")
+    entry_world, "entry: without a configuration callers are asked to retry")
 {
     store.remove("op", "config");
     auto& node = launch_node();
@@ -138,21 +138,21 @@
         }
         catch (boost::system::system_error const&)
         {
-            // It does not listen yet.
+            // The node does not listen yet.
             std::this_thread::sleep_for(milliseconds(20));
         }
     }
     CHECK(got.status == 503);
-    // An outage lasts seconds; the caller itself bounds the wait.
+    // An outage lasts seconds; the caller bounds its own wait.
     CHECK(std::stod(got.headers.at("Retry-After")) >= 0.9);
 }
 
 TEST_CASE_METHOD(
-    entry_world, "entry: a node is ready only once it knows the engines")
+    entry_world, "entry: a node is ready only after it has read the engines")
 {
     store.silence_table("servers");
     auto& node = launch_node();
-    // A path without a route is told so as soon as the configuration is there.
+    // A path without a route gets status 404 once the configuration is loaded.
     auto const is_configured = [&]
     {
         try
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE_METHOD(
-    store_return_fixture, "store client: a single try is not repeated")
+    store_return_fixture, "store client: a single attempt is not retried")
 {
     store.silence({"p1"});
     row_transaction one;
@@ -200,11 +200,12 @@
 }
 
 TEST_CASE_METHOD(
-    entry_world, "entry: a node's row that waits for its partition is not "
-                 "written again meanwhile")
+    entry_world, "entry: a pending write of a node's row is not repeated "
+                 "meanwhile")
 {
-    // Waiting attempts are carried out all the same: repeated by 295 nodes they
-    // keep a partition of 200 transactions a second full for good.
+    // The store executes queued attempts even after their senders time out.
+    // Retries by 295 nodes keep a partition that takes 200 transactions a
+    // second permanently saturated.
     store.silence({"members"});
     auto const began = std::chrono::steady_clock::now();
     start_node();
