--- a/src/entry/load_exchange.cpp
+++ b/src/entry/load_exchange.cpp
@@ -17,49 +17,49 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-/// Reports a second, beside those of choices, that the summing node takes.
+/// Periodic reports per second, beside those for choices, that the load
+/// aggregator handles.
 constexpr int reports_per_s = 1'500;
-/// Age up to which a sum serves a choice.
-constexpr std::chrono::milliseconds new_enough{10};
-/// Longest wait of a choice for a sum.
-constexpr std::chrono::milliseconds choice_patience{10};
-/// A report that is under way for less than this brings the sum for later
-/// choices, too.
-constexpr std::chrono::milliseconds just_asked{2};
-/// Age up to which a sum tells which nodes are in touch: longer than the pause
-/// until another node sums up.
-constexpr std::chrono::milliseconds sum_tells_reach{600};
-/// Time without an answer after which another node sums up.
-constexpr std::chrono::milliseconds longest_silence{400};
-/// Reports kept until their answers come.
-constexpr std::size_t most_unanswered = 64;
-/// Numbers a report that needs no answer.
-constexpr std::uint64_t unasked = 0;
-constexpr double hundred = 100;
-
-std::uint32_t hundredths(double count)
+/// Maximum age of a sum that an engine choice may use.
+constexpr std::chrono::milliseconds max_choice_sum_age{10};
+/// Maximum time that an engine choice waits for a sum.
+constexpr std::chrono::milliseconds choice_timeout{10};
+/// Choices made within this time after a report share the sum that answers it.
+constexpr std::chrono::milliseconds sum_request_sharing_time{2};
+/// Maximum age of a sum that determines the reachable share. Longer than the
+/// time until another node becomes load aggregator.
+constexpr std::chrono::milliseconds max_reachable_share_age{600};
+/// Time without an answer after which another node becomes load aggregator.
+constexpr std::chrono::milliseconds aggregator_timeout{400};
+/// Maximum number of reports kept while they wait for answers.
+constexpr std::size_t max_pending_reports = 64;
+/// Message number of a report that expects no answer.
+constexpr std::uint64_t no_answer_number = 0;
+constexpr double units_per_call = 100;
+
+std::uint32_t to_hundredths(double count)
 {
-    return static_cast<std::uint32_t>(std::lround(count * hundred));
+    return static_cast<std::uint32_t>(std::lround(count * units_per_call));
 }
 
-/// The key whose home sums up.
-constexpr char const* summing_key = "load-summary";
+/// Key whose coordinator is the load aggregator.
+constexpr char const* aggregator_key = "load-summary";
 
-home_options summing_options(double own_strength)
+home_options aggregator_options(double own_strength)
 {
-    home_options to;
-    to.own_strength = own_strength;
-    to.strength_power = single_duty_power;
-    return to;
+    home_options options;
+    options.own_strength = own_strength;
+    options.strength_power = single_duty_power;
+    return options;
 }
 
 } // namespace
 
 load_exchange::load_exchange(
-    asio::io_context& io, engine_board& board, clock_fn clock, std::string self,
-    double own_strength, std::chrono::milliseconds interval)
-    : board_(board), clock_(std::move(clock)), self_(self),
-      homes_(std::move(self), summing_options(own_strength)), io_(io),
+    asio::io_context& io, engine_board& balancer, clock_fn clock,
+    std::string self, double own_strength, std::chrono::milliseconds interval)
+    : balancer_(balancer), clock_(std::move(clock)), self_(self),
+      coordinators_(std::move(self), aggregator_options(own_strength)), io_(io),
       socket_(io), timer_(io), choice_timer_(io), shortest_interval_(interval),
       interval_(interval)
 {
@@ -72,19 +72,20 @@
 
 bool load_exchange::listen(std::string const& address)
 {
-    auto const at = endpoint_of(address);
+    auto const endpoint = endpoint_of(address);
     boost::system::error_code error;
-    if (!at)
+    if (!endpoint)
         return false;
     socket_.open(udp::v4(), error);
     if (!error)
-        socket_.bind(udp::endpoint(at->address(), at->port()), error);
+        socket_.bind(
+            udp::endpoint(endpoint->address(), endpoint->port()), error);
     if (!error)
         socket_.non_blocking(true, error);
     if (error)
         return false;
     receive();
-    report_again();
+    report_periodically();
     return true;
 }
 
@@ -92,47 +93,47 @@
 {
     constexpr int ms_per_s = 1'000;
     auto const nodes = static_cast<int>(others.size()) + 1;
-    nodes_known_ = others.size() + 1;
+    known_nodes_ = others.size() + 1;
     interval_ = std::max(
         shortest_interval_,
         std::chrono::milliseconds(nodes * ms_per_s / reports_per_s));
-    homes_.set_nodes(std::move(others));
+    coordinators_.set_nodes(std::move(others));
 }
 
 double load_exchange::reach() const
 {
-    auto const known = static_cast<double>(nodes_known_);
-    auto const heard = clock_() - sum_asked_at_ <= sum_tells_reach
-                           ? static_cast<double>(std::max(nodes_heard_, 1U))
+    auto const known = static_cast<double>(known_nodes_);
+    auto const heard = clock_() - sum_requested_at_ <= max_reachable_share_age
+                           ? static_cast<double>(std::max(reporting_nodes_, 1U))
                            : 1.0;
     return std::min(heard / known, 1.0);
 }
 
 void load_exchange::stop()
 {
-    boost::system::error_code ignored; // nothing is lost with it
+    boost::system::error_code ignored; // the socket is closed either way
     socket_.close(ignored);
     timer_.cancel();
-    choose_waiting();
+    run_waiting_choices();
 }
 
 load_report load_exchange::own_report() const
 {
-    load_report to;
-    for (auto const& [engine, calls] : board_.own_calls())
-        to.calls.emplace_back(short_key(engine), calls);
-    for (auto const& [engine, one] : board_.own_outcomes())
+    load_report own;
+    for (auto const& [engine, calls] : balancer_.own_calls())
+        own.calls.emplace_back(short_key(engine), calls);
+    for (auto const& [engine, outcomes] : balancer_.own_outcomes())
     {
-        to.outcomes.push_back(
-            {short_key(engine), hundredths(one.failed),
-             hundredths(one.answered)});
+        own.outcomes.push_back(
+            {short_key(engine), to_hundredths(outcomes.failed),
+             to_hundredths(outcomes.answered)});
     }
-    for (auto const& [key, calls] : board_.own_demand())
-        to.demand.push_back({key, hundredths(calls)});
-    return to;
+    for (auto const& [key, calls] : balancer_.own_demand())
+        own.demand.push_back({key, to_hundredths(calls)});
+    return own;
 }
 
-void load_exchange::report_again()
+void load_exchange::report_periodically()
 {
     if (!socket_.is_open())
         return;
@@ -142,66 +143,66 @@
         [this](boost::system::error_code const& error)
         {
             if (!error)
-                report_again();
+                report_periodically();
         });
 }
 
-/// \return null where this node sums up.
-home_candidate const* load_exchange::summing_node(time_point now)
+/// \return null if this node is the load aggregator.
+home_candidate const* load_exchange::find_aggregator(time_point now)
 {
-    if (!unanswered_.empty() &&
-        now - unanswered_.front().sent_at > longest_silence)
+    if (!pending_reports_.empty() &&
+        now - pending_reports_.front().sent_at > aggregator_timeout)
     {
-        homes_.did_not_answer(asked_node_, now);
-        unanswered_.clear();
+        coordinators_.did_not_answer(aggregator_name_, now);
+        pending_reports_.clear();
     }
-    auto const* node = homes_.home_of(summing_key, now);
-    if (node == nullptr || node->node != asked_node_)
-        unanswered_.clear();
-    asked_node_ = node == nullptr ? std::string() : node->node;
+    auto const* node = coordinators_.home_of(aggregator_key, now);
+    if (node == nullptr || node->node != aggregator_name_)
+        pending_reports_.clear();
+    aggregator_name_ = node == nullptr ? std::string() : node->node;
     return node;
 }
 
-/// \return false where the report could not be sent.
+/// \return false if the report could not be sent.
 bool load_exchange::send(
     home_candidate const& to, std::uint64_t number, load_report const& own)
 {
-    auto const at = endpoint_of(to.address);
-    if (!at)
+    auto const endpoint = endpoint_of(to.address);
+    if (!endpoint)
         return false;
-    boost::system::error_code error; // a lost report is followed by others
+    boost::system::error_code error; // later reports replace a lost one
     socket_.send_to(
         asio::buffer(encode_message(true, self_, number, encode(own))),
-        udp::endpoint(at->address(), at->port()), 0, error);
+        udp::endpoint(endpoint->address(), endpoint->port()), 0, error);
     return !error;
 }
 
-/// Reports and asks for the sum.
+/// Reports this node's calls and requests the sum.
 void load_exchange::report()
 {
     auto const now = clock_();
     auto own = own_report();
-    auto const* node = summing_node(now);
+    auto const* node = find_aggregator(now);
     summary_.set(self_, own, now);
     changes_to_report_ = false;
     if (node == nullptr)
     {
-        apply(summary_.sum(now), own.calls);
-        sum_asked_at_ = now;
+        apply_sum(summary_.sum(now), own.calls);
+        sum_requested_at_ = now;
         return;
     }
     if (!send(*node, ++number_, own))
         return;
-    if (unanswered_.size() >= most_unanswered)
-        unanswered_.pop_back();
-    unanswered_.push_back({number_, now, std::move(own.calls)});
+    if (pending_reports_.size() >= max_pending_reports)
+        pending_reports_.pop_back();
+    pending_reports_.push_back({number_, now, std::move(own.calls)});
 }
 
 void load_exchange::calls_changed()
 {
     if (changes_to_report_ || !socket_.is_open())
         return;
-    // Several changes of one step of the loop go together.
+    // Changes made in the same event loop iteration share one report.
     changes_to_report_ = true;
     asio::post(
         io_,
@@ -220,45 +221,47 @@
     auto const now = clock_();
     auto const own = own_report();
     summary_.set(self_, own, now);
-    if (auto const* node = summing_node(now))
-        send(*node, unasked, own);
+    if (auto const* node = find_aggregator(now))
+        send(*node, no_answer_number, own);
 }
 
 void load_exchange::before_choice(std::function<void()> choose)
 {
     auto const now = clock_();
-    if (!socket_.is_open() || now - sum_asked_at_ <= new_enough)
+    if (!socket_.is_open() || now - sum_requested_at_ <= max_choice_sum_age)
     {
         choose();
         return;
     }
-    auto const asked =
-        !unanswered_.empty() && now - unanswered_.back().sent_at <= just_asked;
-    if (!asked)
+    auto const recently_requested =
+        !pending_reports_.empty() &&
+        now - pending_reports_.back().sent_at <= sum_request_sharing_time;
+    if (!recently_requested)
         report();
-    // This node may sum up itself.
-    if (clock_() - sum_asked_at_ <= new_enough || unanswered_.empty())
+    // The sum is already known if this node is the load aggregator.
+    if (clock_() - sum_requested_at_ <= max_choice_sum_age ||
+        pending_reports_.empty())
     {
         choose();
         return;
     }
-    choices_.push_back(std::move(choose));
-    if (choices_.size() > 1)
+    waiting_choices_.push_back(std::move(choose));
+    if (waiting_choices_.size() > 1)
         return;
-    choice_timer_.expires_after(choice_patience);
+    choice_timer_.expires_after(choice_timeout);
     choice_timer_.async_wait(
         [this, alive = alive_](boost::system::error_code const& error)
         {
             if (!error && *alive)
-                choose_waiting();
+                run_waiting_choices();
         });
 }
 
-void load_exchange::choose_waiting()
+void load_exchange::run_waiting_choices()
 {
     choice_timer_.cancel();
-    auto const waiting = std::move(choices_);
-    choices_.clear();
+    auto const waiting = std::move(waiting_choices_);
+    waiting_choices_.clear();
     for (auto const& choose : waiting)
         choose();
 }
@@ -272,18 +275,18 @@
             if (error == asio::error::operation_aborted)
                 return;
             if (!error)
-                take({buffer_.data(), size});
+                handle_datagram({buffer_.data(), size});
             receive();
         });
 }
 
-void load_exchange::take(std::string_view bytes)
+void load_exchange::handle_datagram(std::string_view bytes)
 {
     auto const message = decode_load_message(bytes);
     if (!message)
     {
         if (on_other)
-            take_other(bytes);
+            handle_other_datagram(bytes);
         return;
     }
     if (message->asks)
@@ -291,28 +294,28 @@
         answer(*message);
         return;
     }
-    auto const asked = std::find_if(
-        unanswered_.begin(), unanswered_.end(),
-        [&message](open_report const& one)
+    auto const pending = std::find_if(
+        pending_reports_.begin(), pending_reports_.end(),
+        [&message](pending_report const& one)
         { return one.number == message->number; });
-    if (asked == unanswered_.end())
+    if (pending == pending_reports_.end())
         return;
-    auto const one = std::move(*asked);
-    // Sums of earlier reports that still come are older than this one.
-    unanswered_.erase(unanswered_.begin(), asked + 1);
-    homes_.answered(message->node);
-    sum_asked_at_ = one.sent_at;
-    apply(message->report, one.calls);
-    choose_waiting();
+    auto const answered = std::move(*pending);
+    // Answers to earlier reports that arrive later hold older sums.
+    pending_reports_.erase(pending_reports_.begin(), pending + 1);
+    coordinators_.answered(message->node);
+    sum_requested_at_ = answered.sent_at;
+    apply_sum(message->report, answered.calls);
+    run_waiting_choices();
 }
 
-void load_exchange::take_other(std::string_view bytes)
+void load_exchange::handle_other_datagram(std::string_view bytes)
 {
     on_other(
         bytes,
         [this, alive = alive_, to = sender_](std::string const& reply)
         {
-            boost::system::error_code ignored; // its sender asks again
+            boost::system::error_code ignored; // the requester retries
             if (*alive && socket_.is_open())
                 socket_.send_to(asio::buffer(reply), to, 0, ignored);
         });
@@ -321,66 +324,66 @@
 void load_exchange::send_other(
     std::string const& address, std::string const& bytes)
 {
-    auto const at = endpoint_of(address);
-    boost::system::error_code
-        ignored; // whoever waits for its answer asks again
-    if (at && socket_.is_open())
+    auto const endpoint = endpoint_of(address);
+    boost::system::error_code ignored; // the requester retries
+    if (endpoint && socket_.is_open())
     {
         socket_.send_to(
-            asio::buffer(bytes), udp::endpoint(at->address(), at->port()), 0,
-            ignored);
+            asio::buffer(bytes),
+            udp::endpoint(endpoint->address(), endpoint->port()), 0, ignored);
     }
 }
 
-void load_exchange::answer(load_message const& asked)
+void load_exchange::answer(load_message const& request)
 {
     auto const now = clock_();
-    summary_.set(asked.node, asked.report, now);
-    if (asked.number == unasked)
+    summary_.set(request.node, request.report, now);
+    if (request.number == no_answer_number)
         return;
     auto const bytes =
-        encode_message(false, self_, asked.number, summary_.encoded_sum(now));
-    boost::system::error_code ignored; // a lost answer is asked for again
+        encode_message(false, self_, request.number, summary_.encoded_sum(now));
+    boost::system::error_code ignored; // the requester retries
     socket_.send_to(asio::buffer(bytes), sender_, 0, ignored);
 }
 
-void load_exchange::apply(load_report const& sum, engine_counts const& own)
+void load_exchange::apply_sum(load_report const& sum, engine_counts const& own)
 {
-    // Nodes of an earlier version don't tell.
-    nodes_heard_ =
-        sum.nodes > 0 ? sum.nodes : static_cast<std::uint32_t>(nodes_known_);
-    std::unordered_map<std::uint32_t, std::uint32_t> others(
+    // Nodes of an earlier version don't report the number of nodes.
+    reporting_nodes_ =
+        sum.nodes > 0 ? sum.nodes : static_cast<std::uint32_t>(known_nodes_);
+    std::unordered_map<std::uint32_t, std::uint32_t> peer_calls(
         sum.calls.begin(), sum.calls.end());
     for (auto const& [key, calls] : own)
     {
-        auto& all = others[key];
+        auto& all = peer_calls[key];
         all -= std::min(all, calls);
     }
-    board_.set_peer_loads(
+    balancer_.set_peer_loads(
         [&](target_name const& engine)
         {
-            auto const found = others.find(short_key(engine));
-            return found == others.end() ? 0U : found->second;
+            auto const found = peer_calls.find(short_key(engine));
+            return found == peer_calls.end() ? 0U : found->second;
         });
     prompt_demand demand;
     for (auto const& one : sum.demand)
-        demand[one.key] = one.calls / hundred;
-    board_.set_all_demand(std::move(demand));
+        demand[one.key] = one.calls / units_per_call;
+    balancer_.set_all_demand(std::move(demand));
     if (sum.outcomes.empty())
         return;
     std::unordered_map<std::uint32_t, recent_outcomes> outcomes;
     for (auto const& one : sum.outcomes)
-        outcomes[one.engine] = {one.failed / hundred, one.answered / hundred};
-    auto const resting = board_.set_all_outcomes(
+        outcomes[one.engine] = {
+            one.failed / units_per_call, one.answered / units_per_call};
+    auto const ejected = balancer_.set_all_outcomes(
         [&](target_name const& engine)
         {
             auto const found = outcomes.find(short_key(engine));
             return found == outcomes.end() ? recent_outcomes() : found->second;
         });
-    for (auto const& [engine, seen] : resting)
+    for (auto const& [engine, recent] : ejected)
     {
         if (on_rest)
-            on_rest(engine, seen);
+            on_rest(engine, recent);
     }
 }
 
--- a/src/entry/load_exchange.hpp
+++ b/src/entry/load_exchange.hpp
@@ -2,14 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_LOAD_EXCHANGE_HPP
 
 /// \file
-/// Reports this node's calls in flight and how calls ended to the node that
-/// sums them up, and takes the sum over all nodes back, by datagrams.
+/// Reports this node's calls in flight and their outcomes to the load
+/// aggregator over UDP, and receives the sum over all nodes in return.
 ///
-/// Load pattern: hundreds of nodes each place a few calls a second on the same
-/// engines of few slots. With sums 200 ms old half the time of a call has
-/// passed, and calls queue at some engines beside free slots at others. So a
-/// node asks for the sum before each choice and reports the choice at once.
-/// Broadcasting each change instead takes nodes times calls datagrams.
+/// Load pattern: hundreds of nodes each place a few calls per second on the
+/// same engines, each of which has few slots. A sum that is 200 ms old lags by
+/// half the duration of a call, so calls queue at some engines while others
+/// have free slots. A node therefore requests the sum before each engine choice
+/// and reports the choice immediately. Broadcasting each change instead would
+/// take nodes times calls datagrams.
 
 #include <walnutmill/engine_board.hpp>
 
@@ -34,38 +35,49 @@
 {
 
 /// Interval between reports of a node that places no calls.
-constexpr std::chrono::milliseconds usual_report_interval{200};
+constexpr std::chrono::milliseconds default_report_interval{200};
 
+/// Exchanges load reports with the load aggregator, which may be this node, and
+/// applies the sums to the load balancer.
 class load_exchange
 {
 public:
+    /// \param own_strength capacity weight of this node: its processor share,
+    /// in cores
+    /// \param interval shortest interval between periodic reports
     load_exchange(
-        boost::asio::io_context& io, engine_board& board, clock_fn clock,
+        boost::asio::io_context& io, engine_board& balancer, clock_fn clock,
         std::string self, double own_strength = 1,
-        std::chrono::milliseconds interval = usual_report_interval);
+        std::chrono::milliseconds interval = default_report_interval);
     ~load_exchange();
     load_exchange(load_exchange const&) = delete;
     load_exchange& operator=(load_exchange const&) = delete;
 
-    /// \return false where the address can't be bound.
+    /// Binds the address, IP:PORT, and starts periodic reports.
+    /// \return false if the address is invalid or can't be bound.
     bool listen(std::string const& address);
+    /// Replaces the list of the other nodes. The report interval grows with
+    /// their number.
     void set_nodes(std::vector<home_candidate> others);
+    /// Closes the socket, stops periodic reports and runs the waiting choices.
     void stop();
 
-    /// Calls back once a sum is known that was made just now, or none comes in
-    /// time; at once where the known one is new enough.
+    /// Invokes the callback once a fresh sum arrives or the request for it
+    /// times out; immediately if the known sum is recent enough.
     void before_choice(std::function<void()> choose);
-    /// \return the part of all nodes, 0 to 1, that the summing node hears and
-    /// this node hears of.
+    /// \return the share of all nodes, 0 to 1, whose reports are in the latest
+    /// sum known to this node. Only this node counts once that sum is older
+    /// than 600 ms.
     double reach() const;
-    /// Reports this node's calls soon: one began or ended.
+    /// Schedules a report of this node's calls after one began or ended.
     void calls_changed();
 
-    /// An engine rests, as calls of all nodes failed there.
+    /// Called when an engine is ejected because calls of all nodes failed
+    /// there.
     std::function<void(target_name const&, recent_outcomes const&)> on_rest;
 
-    /// Takes datagrams of other protocols that share the address; null: they
-    /// are dropped.
+    /// Handles datagrams of other protocols that share the address; if null,
+    /// they are dropped.
     std::function<void(
         std::string_view bytes, std::function<void(std::string)> const& reply)>
         on_other;
@@ -73,32 +85,32 @@
     void send_other(std::string const& address, std::string const& bytes);
 
 private:
-    /// A report whose answer has not come.
-    struct open_report
+    /// A report that has not been answered yet.
+    struct pending_report
     {
         std::uint64_t number = 0;
         time_point sent_at{};
         engine_counts calls;
     };
 
-    void report_again();
+    void report_periodically();
     void report();
     void report_changes();
     void receive();
-    void take(std::string_view bytes);
-    void take_other(std::string_view bytes);
-    void answer(load_message const& asked);
-    void apply(load_report const& sum, engine_counts const& own);
-    void choose_waiting();
-    home_candidate const* summing_node(time_point now);
+    void handle_datagram(std::string_view bytes);
+    void handle_other_datagram(std::string_view bytes);
+    void answer(load_message const& request);
+    void apply_sum(load_report const& sum, engine_counts const& own);
+    void run_waiting_choices();
+    home_candidate const* find_aggregator(time_point now);
     bool send(
         home_candidate const& to, std::uint64_t number, load_report const& own);
     load_report own_report() const;
 
-    engine_board& board_;
+    engine_board& balancer_;
     clock_fn clock_;
     std::string self_;
-    program_homes homes_;
+    program_homes coordinators_;
     load_summary summary_;
     boost::asio::io_context& io_;
     boost::asio::ip::udp::socket socket_;
@@ -109,16 +121,17 @@
     std::chrono::milliseconds shortest_interval_;
     std::chrono::milliseconds interval_;
     std::uint64_t number_ = 0;
-    /// Reports without an answer, oldest first, and to whom they went.
-    std::deque<open_report> unanswered_;
-    std::string asked_node_;
-    /// When the known sum was asked for.
-    time_point sum_asked_at_{};
-    /// Nodes that the known sum is of, and all that are known.
-    std::uint32_t nodes_heard_ = 0;
-    std::size_t nodes_known_ = 1;
-    /// Choices that wait for a sum.
-    std::vector<std::function<void()>> choices_;
+    /// Unanswered reports, oldest first, and the load aggregator they were sent
+    /// to.
+    std::deque<pending_report> pending_reports_;
+    std::string aggregator_name_;
+    /// Time at which the known sum was requested.
+    time_point sum_requested_at_{};
+    /// Number of nodes in the known sum, and of all known nodes.
+    std::uint32_t reporting_nodes_ = 0;
+    std::size_t known_nodes_ = 1;
+    /// Engine choices that wait for a sum.
+    std::vector<std::function<void()>> waiting_choices_;
     bool changes_to_report_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/entry/load_summary.cpp
+++ b/src/entry/load_summary.cpp
@@ -12,14 +12,16 @@
 namespace
 {
 
-/// CBOR's head of an array of seven: a message's fields and its report's.
+/// CBOR header of an array with seven elements: the fields of a message
+/// followed by those of its report.
 constexpr char array_of_seven = static_cast<char>(0x87);
-/// Age up to which a node's report tells that the node is in touch: two
-/// intervals between reports, and what a slow node takes.
-constexpr std::chrono::milliseconds heard_lately{500};
+/// Maximum age of the report of a node that counts as reachable: two report
+/// intervals plus the delay of a slow node.
+constexpr std::chrono::milliseconds max_reachable_report_age{500};
 
-/// \return true for an array whose first element is a boolean, in CBOR:
-/// messages of other protocols come to the same address.
+/// \return true if the bytes start a CBOR array whose first element is a
+/// boolean. This distinguishes load messages from those of other protocols that
+/// share the address.
 bool starts_with_flag(std::string_view bytes)
 {
     constexpr char cbor_false = static_cast<char>(0xf4);
@@ -28,9 +30,9 @@
            (bytes[1] == cbor_false || bytes[1] == cbor_true);
 }
 
-void append(json const& one, std::string& to)
+void append_cbor(json const& value, std::string& to)
 {
-    auto const bytes = json::to_cbor(one);
+    auto const bytes = json::to_cbor(value);
     to.append(bytes.begin(), bytes.end());
 }
 
@@ -62,22 +64,22 @@
         demand.push_back(one.key);
         demand.push_back(one.calls);
     }
-    std::string to;
+    std::string encoded;
     for (auto const* part : {&counts, &outcomes, &demand})
-        append(*part, to);
-    append(report.nodes, to);
-    return to;
+        append_cbor(*part, encoded);
+    append_cbor(report.nodes, encoded);
+    return encoded;
 }
 
 std::string encode_message(
     bool asks, std::string_view node, std::uint64_t number,
     std::string_view report)
 {
-    std::string to(1, array_of_seven);
-    append(asks, to);
-    append(node, to);
-    append(number, to);
-    return to.append(report);
+    std::string encoded(1, array_of_seven);
+    append_cbor(asks, encoded);
+    append_cbor(node, encoded);
+    append_cbor(number, encoded);
+    return encoded.append(report);
 }
 
 std::string encode(load_message const& message)
@@ -93,22 +95,22 @@
     try
     {
         auto const body = json::from_cbor(bytes.begin(), bytes.end());
-        load_message to;
-        to.asks = body.at(0).get<bool>();
-        to.node = body.at(1).get<std::string>();
-        to.number = body.at(2).get<std::uint64_t>();
+        load_message message;
+        message.asks = body.at(0).get<bool>();
+        message.node = body.at(1).get<std::string>();
+        message.number = body.at(2).get<std::uint64_t>();
         auto const& counts = body.at(3);
         for (std::size_t i = 0; i + 1 < counts.size(); i += 2)
         {
-            to.report.calls.emplace_back(
+            message.report.calls.emplace_back(
                 counts[i].get<std::uint32_t>(),
                 counts[i + 1].get<std::uint32_t>());
         }
-        // Nodes of an earlier version don't tell of outcomes.
+        // Nodes of an earlier version don't report outcomes.
         auto const outcomes = body.size() > 4 ? body.at(4) : json::array();
         for (std::size_t i = 0; i + 2 < outcomes.size(); i += 3)
         {
-            to.report.outcomes.push_back(
+            message.report.outcomes.push_back(
                 {outcomes[i].get<std::uint32_t>(),
                  outcomes[i + 1].get<std::uint32_t>(),
                  outcomes[i + 2].get<std::uint32_t>()});
@@ -116,22 +118,22 @@
         auto const demand = body.size() > 5 ? body.at(5) : json::array();
         for (std::size_t i = 0; i + 1 < demand.size(); i += 2)
         {
-            to.report.demand.push_back(
+            message.report.demand.push_back(
                 {demand[i].get<std::uint32_t>(),
                  demand[i + 1].get<std::uint32_t>()});
         }
         if (body.size() > 6)
-            to.report.nodes = body.at(6).get<std::uint32_t>();
-        return to;
+            message.report.nodes = body.at(6).get<std::uint32_t>();
+        return message;
     }
     catch (json::exception const&)
     {
-        // A stray datagram; the next question is a fifth of a second away.
+        // Malformed datagram. By default the next report follows in 200 ms.
         return std::nullopt;
     }
 }
 
-load_summary::load_summary(duration keeps) : keeps_(keeps) {}
+load_summary::load_summary(duration retention) : retention_(retention) {}
 
 void load_summary::set(
     std::string const& node, load_report report, time_point now)
@@ -144,16 +146,16 @@
     std::unordered_map<std::uint32_t, std::uint32_t> calls;
     std::unordered_map<std::uint32_t, outcome_count> outcomes;
     std::unordered_map<std::uint32_t, std::uint32_t> demand;
-    load_report to;
+    load_report total;
     for (auto it = nodes_.begin(); it != nodes_.end();)
     {
-        if (now - it->second.at > keeps_)
+        if (now - it->second.at > retention_)
         {
             it = nodes_.erase(it);
             continue;
         }
-        if (now - it->second.at <= heard_lately)
-            ++to.nodes;
+        if (now - it->second.at <= max_reachable_report_age)
+            ++total.nodes;
         for (auto const& [key, count] : it->second.report.calls)
             calls[key] += count;
         for (auto const& one : it->second.report.outcomes)
@@ -167,20 +169,20 @@
             demand[one.key] += one.calls;
         ++it;
     }
-    to.calls.assign(calls.begin(), calls.end());
+    total.calls.assign(calls.begin(), calls.end());
     for (auto const& [key, one] : outcomes)
     {
         if (one.failed > 0)
-            to.outcomes.push_back(one);
+            total.outcomes.push_back(one);
     }
     for (auto const& [key, calls] : demand)
-        to.demand.push_back({key, calls});
-    return to;
+        total.demand.push_back({key, calls});
+    return total;
 }
 
 std::string const& load_summary::encoded_sum(time_point now)
 {
-    if (encoded_.empty() || now - encoded_at_ >= encoded_lasts)
+    if (encoded_.empty() || now - encoded_at_ >= encoded_sum_lifetime)
     {
         encoded_ = encode(sum(now));
         encoded_at_ = now;
--- a/src/entry/load_summary.hpp
+++ b/src/entry/load_summary.hpp
@@ -2,14 +2,15 @@
 #define WALNUTMILL_SRC_ENTRY_LOAD_SUMMARY_HPP
 
 /// \file
-/// Adds up the calls that all nodes have at each engine, and how those ended
-/// that failed there lately.
+/// Sums the calls in flight of all nodes by engine, the recent outcomes at
+/// engines where calls failed, and the demand for shared prompts.
 ///
 /// Load pattern: 13 to 390 nodes place calls on the same engines. An engine
-/// tells its load in its answers, but with 80 nodes and 45 engines a node
-/// hears of an engine once in five seconds, ten times as long as a call
-/// lasts. Without the sum nodes can't tell a full fleet from an idle one, and
-/// each estimates the demand for a shared prompt from its own few calls.
+/// reports its load in its answers, but with 80 nodes and 45 engines a node
+/// gets an answer from a given engine once in five seconds, ten times the
+/// duration of a call. Without the sum nodes can't distinguish a full fleet
+/// from an idle one, and each estimates the demand for a shared prompt from its
+/// own few calls.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/ids.hpp>
@@ -25,10 +26,10 @@
 namespace walnutmill
 {
 
-/// Calls at engines, by the engines' short keys.
+/// Calls in flight at engines, as pairs of short key and count.
 using engine_counts = std::vector<std::pair<std::uint32_t, std::uint32_t>>;
 
-/// How calls at an engine ended lately, in hundredths of a call.
+/// Recent outcomes of calls at an engine, in hundredths of a call.
 struct outcome_count
 {
     std::uint32_t engine = 0;
@@ -36,63 +37,71 @@
     std::uint32_t answered = 0;
 };
 
-/// Recent calls for a shared prompt or for all of a service's, in hundredths.
+/// Recent calls for one shared prompt or for all prompts of a service, in
+/// hundredths of a call.
 struct demand_count
 {
     std::uint32_t key = 0;
     std::uint32_t calls = 0;
 };
 
-/// What one node tells, or the sum over all.
+/// The load reported by one node, or the sum over all nodes.
 struct load_report
 {
     engine_counts calls;
     std::vector<outcome_count> outcomes;
     std::vector<demand_count> demand{};
-    /// In a sum: nodes that reported a short time ago.
+    /// In a sum, the number of nodes that reported within the last 500 ms.
     std::uint32_t nodes = 0;
 };
 
-/// \return a key short enough for datagrams. Two engines of a few thousand
-/// share one with a chance of one in a thousand, and then share their loads.
+/// \return a 32-bit hash of the engine's name, short enough for datagrams.
+/// Among a few thousand engines two have the same key with a probability of one
+/// in a thousand; their loads are then added together.
 std::uint32_t short_key(target_name const& engine);
 
-/// A node's calls, or the sum over all nodes, as sent between nodes.
+/// A load report or the sum over all nodes, as sent between nodes.
 struct load_message
 {
-    /// The sender asks for the sum; otherwise this is the sum.
+    /// True in a report to the load aggregator, false in its answer with the
+    /// sum.
     bool asks = false;
     std::string node;
-    /// Numbers the sender's questions; the answer bears the same.
+    /// Request number chosen by the sender and repeated in the answer.
     std::uint64_t number = 0;
     load_report report;
 };
 
 std::string encode(load_message const& message);
-/// Encodes a report once for many messages.
+/// Encodes a report separately, so that several messages can share it.
 std::string encode(load_report const& report);
-/// \param report an encoded report
+/// Encodes a message that contains an encoded report.
 std::string encode_message(
     bool asks, std::string_view node, std::uint64_t number,
     std::string_view report);
-/// \return empty where the bytes are no such message.
+/// \return empty if the bytes are not a load message.
 std::optional<load_message> decode_load_message(std::string_view bytes);
 
-/// How long an encoded sum is used.
-constexpr std::chrono::milliseconds encoded_lasts{5};
+/// Time for which an encoded sum is reused.
+constexpr std::chrono::milliseconds encoded_sum_lifetime{5};
 
+/// Keeps the latest report of each node and sums them.
 class load_summary
 {
 public:
-    /// How long a node's counts are used: calls last half a second.
-    explicit load_summary(duration keeps = std::chrono::milliseconds(1'000));
+    /// \param retention time after which a node's report expires; calls last
+    /// half a second
+    explicit load_summary(
+        duration retention = std::chrono::milliseconds(1'000));
 
+    /// Replaces the node's previous report.
     void set(std::string const& node, load_report report, time_point now);
-    /// Outcomes are summed for engines at which calls failed, the others need
-    /// no place in a datagram.
+    /// \return the sum of the reports that have not expired. It contains
+    /// outcomes only of engines where calls failed, which saves space in
+    /// datagrams.
     load_report sum(time_point now);
-    /// \return the encoded sum, up to \c encoded_lasts old: a sum over all
-    /// nodes for each of them grows with the square of their number.
+    /// \return the encoded sum, cached for \c encoded_sum_lifetime: computing
+    /// the sum over all nodes for each of them is quadratic in their number.
     std::string const& encoded_sum(time_point now);
 
 private:
@@ -102,7 +111,7 @@
         load_report report;
     };
 
-    duration keeps_;
+    duration retention_;
     std::unordered_map<std::string, node_report> nodes_;
     std::string encoded_;
     time_point encoded_at_{};
--- a/test/load_exchange-test.cpp
+++ b/test/load_exchange-test.cpp
@@ -15,23 +15,25 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Only choices and their calls bring reports.
-constexpr std::chrono::minutes no_interval{10};
+/// Suppresses periodic reports, so that only choices and calls cause reports.
+constexpr std::chrono::minutes no_periodic_reports{10};
 
-/// Nodes that tell each other their loads over the loopback, on one loop.
+/// Two nodes that exchange load reports over the loopback interface on one
+/// event loop.
 struct exchange_fixture
 {
     struct node
     {
         reserved_address address;
-        engine_board board;
+        engine_board balancer;
         load_exchange loads;
 
         node(
             boost::asio::io_context& io, std::string const& name,
-            double strength)
-            : board(zone_name("z"), now, seeded_random(1)),
-              loads(io, board, now, name, strength, no_interval)
+            double capacity_weight)
+            : balancer(zone_name("z"), now, seeded_random(1)),
+              loads(
+                  io, balancer, now, name, capacity_weight, no_periodic_reports)
         {
         }
     };
@@ -53,7 +55,7 @@
         strong = std::make_unique<node>(io, "strong", 1.0);
         weak = std::make_unique<node>(io, "weak", 0.01);
         for (auto* one : {strong.get(), weak.get()})
-            one->board.set_engines({engine});
+            one->balancer.set_engines({engine});
         strong->loads.set_nodes({{"weak", weak->address.text(), 0.01}});
         weak->loads.set_nodes({{"strong", strong->address.text(), 1.0}});
     }
@@ -71,7 +73,7 @@
     }
 
     template<class Condition>
-    bool comes_true(Condition const& condition)
+    bool becomes_true(Condition const& condition)
     {
         auto const end = now() + seconds(30);
         while (!condition() && now() < end)
@@ -84,17 +86,17 @@
 
     double load_at(node& one) const
     {
-        auto const at = one.board.choose(need);
+        auto const at = one.balancer.choose(need);
         REQUIRE(at);
         return at->load;
     }
 
-    /// \return the load that a choice of that node rests on
+    /// \return the engine load on which the node bases its choice
     double load_of_choice(node& one)
     {
         double load = -1;
         one.loads.before_choice([&] { load = load_at(one); });
-        REQUIRE(comes_true([&] { return load >= 0; }));
+        REQUIRE(becomes_true([&] { return load >= 0; }));
         return load;
     }
 };
@@ -102,46 +104,48 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    exchange_fixture, "load exchange: a call just placed counts for others")
+    exchange_fixture,
+    "load exchange: other nodes count a call as soon as it is placed")
 {
     listen();
     engine_ref const engine(target_name("e0"), engine_incarnation());
     for (double calls = 1; calls <= 3; ++calls)
     {
-        strong->board.sent(engine, need);
+        strong->balancer.sent(engine, need);
         strong->loads.calls_changed();
-        // A lost datagram only makes it later.
-        CHECK(comes_true([&] { return load_of_choice(*weak) == calls; }));
-        weak->board.sent(engine, need);
+        // A lost datagram only delays the update.
+        CHECK(becomes_true([&] { return load_of_choice(*weak) == calls; }));
+        weak->balancer.sent(engine, need);
         weak->loads.calls_changed();
-        CHECK(comes_true([&] { return load_of_choice(*strong) == calls + 1; }));
-        weak->board.ended(
+        CHECK(
+            becomes_true([&] { return load_of_choice(*strong) == calls + 1; }));
+        weak->balancer.ended(
             engine, need, engine_outcome::answered, milliseconds(10));
         weak->loads.calls_changed();
-        CHECK(comes_true([&] { return load_of_choice(*strong) == calls; }));
+        CHECK(becomes_true([&] { return load_of_choice(*strong) == calls; }));
     }
 }
 
 TEST_CASE_METHOD(
     exchange_fixture,
-    "load exchange: a choice goes on without an answer of the summing node")
+    "load exchange: a choice proceeds if the load aggregator does not answer")
 {
     REQUIRE(weak->loads.listen(weak->address.text()));
     for (int i = 0; i < 5; ++i)
         CHECK(load_of_choice(*weak) == 0);
-    // The silent one is passed over, and the node sums up itself.
+    // The unresponsive node is skipped and this node becomes load aggregator.
     engine_ref const engine(target_name("e0"), engine_incarnation());
-    weak->board.sent(engine, need);
-    CHECK(comes_true(
+    weak->balancer.sent(engine, need);
+    CHECK(becomes_true(
         [&]
         {
             load_of_choice(*weak);
-            return weak->board.pressure(need.service).has_value();
+            return weak->balancer.pressure(need.service).has_value();
         }));
 }
 
 TEST_CASE_METHOD(
-    exchange_fixture, "load exchange: choices made after its end are not held")
+    exchange_fixture, "load exchange: choices after stop do not wait")
 {
     listen();
     weak->loads.stop();
--- a/test/load_summary-test.cpp
+++ b/test/load_summary-test.cpp
@@ -38,7 +38,7 @@
 }
 
 TEST_CASE_METHOD(
-    summary_fixture, "load summary: a node's news replace what it said before")
+    summary_fixture, "load summary: a node's report replaces its previous one")
 {
     summary.set("a", {{{1, 3}}, {}}, clock.now());
     summary.set("a", {{{2, 5}}, {}}, clock.now());
@@ -47,7 +47,8 @@
 }
 
 TEST_CASE_METHOD(
-    summary_fixture, "load summary: a node that fell silent counts no more")
+    summary_fixture,
+    "load summary: the report of a node that stopped reporting expires")
 {
     summary.set("a", {{{1, 3}}, {}}, clock.now());
     clock.advance(seconds(2));
@@ -67,7 +68,7 @@
     CHECK(outcomes[0].answered == 60);
 }
 
-TEST_CASE("load message: comes back as it was sent")
+TEST_CASE("load message: encoding and decoding preserve all fields")
 {
     load_message const sent{
         true, "n1", 7, {{{11, 2}, {4'000'000'000U, 9}}, {{11, 250, 40}}}};
@@ -83,7 +84,7 @@
     CHECK(got->report.outcomes[0].answered == 40);
 }
 
-TEST_CASE("load message: one of an earlier version has no outcomes")
+TEST_CASE("load message: a message of an earlier version has no outcomes")
 {
     // [true, "n1", 7, [11, 2]]
     std::string const bytes{'\x84', '\xf5', '\x62', 'n',   '1',
@@ -94,7 +95,7 @@
     CHECK(got->report.outcomes.empty());
 }
 
-TEST_CASE("load message: stray bytes are none")
+TEST_CASE("load message: malformed bytes are rejected")
 {
     CHECK_FALSE(decode_load_message("hello"));
     CHECK_FALSE(decode_load_message(""));
@@ -114,18 +115,19 @@
 }
 
 TEST_CASE_METHOD(
-    summary_fixture, "load summary: one encoded sum serves many for a moment")
+    summary_fixture, "load summary: the encoded sum is cached for a short time")
 {
     summary.set("a", {{{1, 3}}, {}}, clock.now());
     auto const first = summary.encoded_sum(clock.now());
     summary.set("b", {{{1, 4}}, {}}, clock.now());
     CHECK(summary.encoded_sum(clock.now()) == first);
-    clock.advance(encoded_lasts);
+    clock.advance(encoded_sum_lifetime);
     CHECK(summary.encoded_sum(clock.now()) != first);
 }
 
 TEST_CASE_METHOD(
-    summary_fixture, "load summary: an encoded sum is a message's report")
+    summary_fixture,
+    "load summary: the encoded sum is valid as a message's report")
 {
     summary.set("a", {{{1, 3}}, {{1, 100, 200}}, {{5, 70}}}, clock.now());
     auto const got = decode_load_message(
