--- a/src/entry/caller_link.cpp
+++ b/src/entry/caller_link.cpp
@@ -17,15 +17,15 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/// Bytes of following requests that are kept while one is answered; past it
-/// the link stops reading, and the caller's own window holds the rest.
-constexpr std::size_t ahead_limit = 65'536;
-/// How long a link that is ending waits for the caller to close, so that its
-/// last bytes are not cut off by a reset.
-constexpr milliseconds linger{1'000};
-/// Idle time granted past the limit that callers know, since theirs starts
-/// later than ours.
-constexpr milliseconds idle_slack{1'000};
+/// Bytes of pipelined requests that are buffered while one is answered. Past
+/// this the link stops reading, and TCP flow control holds back the caller.
+constexpr std::size_t max_read_ahead_bytes = 65'536;
+/// How long a closing link waits for the caller to close its side, so that a
+/// reset does not discard the last bytes of the answer.
+constexpr milliseconds close_timeout{1'000};
+/// Added to the idle timeout that callers are given, because a caller starts
+/// its idle timer later than the node does.
+constexpr milliseconds idle_timeout_margin{1'000};
 
 constexpr int status_bad_request = 400;
 constexpr int status_timeout = 408;
@@ -52,11 +52,11 @@
 
 void caller_link::start()
 {
-    error_code ignored; // only a matter of speed
+    error_code ignored; // affects only latency
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-    watch_for_silence(socket_);
+    enable_dead_peer_detection(socket_);
     start_parser();
-    arm_timer(hooks_.limits().idle_timeout + idle_slack);
+    arm_timer(hooks_.limits().idle_timeout + idle_timeout_margin);
     read();
 }
 
@@ -73,26 +73,26 @@
 
 void caller_link::read()
 {
-    if (read_pending_ || ended_ || incoming_.size() > ahead_limit)
+    if (read_pending_ || ended_ || incoming_.size() > max_read_ahead_bytes)
         return;
     read_pending_ = true;
     socket_.async_read_some(
         asio::buffer(chunk_),
         [self = shared_from_this()](error_code const& error, std::size_t size)
-        { self->received(error, size); });
+        { self->handle_read(error, size); });
 }
 
-void caller_link::received(error_code const& error, std::size_t size)
+void caller_link::handle_read(error_code const& error, std::size_t size)
 {
     read_pending_ = false;
     if (ended_)
         return;
     if (error)
     {
-        gone();
+        handle_disconnect();
         return;
     }
-    if (!shutting_)
+    if (!shutting_down_)
     {
         incoming_.append(chunk_.data(), size);
         if (!answering_)
@@ -169,21 +169,21 @@
     asio::async_write(
         socket_, asio::buffer(in_flight_),
         [self = shared_from_this()](error_code const& error, std::size_t)
-        { self->written(error); });
+        { self->handle_write(error); });
 }
 
-void caller_link::written(error_code const& error)
+void caller_link::handle_write(error_code const& error)
 {
     in_flight_.clear();
     if (ended_)
         return;
     if (error)
     {
-        gone();
+        handle_disconnect();
         return;
     }
     flush();
-    if (in_flight_.empty() && close_after_ && !answering_)
+    if (in_flight_.empty() && close_after_answer_ && !answering_)
         end_gracefully();
 }
 
@@ -193,15 +193,15 @@
     on_gone = {};
     if (ended_)
         return;
-    close_after_ = close_after_ || close || wants_close_;
-    if (close_after_)
+    close_after_answer_ = close_after_answer_ || close || wants_close_;
+    if (close_after_answer_)
     {
         if (in_flight_.empty() && outgoing_.empty())
             end_gracefully();
         return;
     }
-    arm_timer(hooks_.limits().idle_timeout + idle_slack);
-    // Not from here: this may run inside the parse of the request before.
+    arm_timer(hooks_.limits().idle_timeout + idle_timeout_margin);
+    // Deferred, because this may run inside the parse of the previous request.
     asio::post(
         socket_.get_executor(),
         [self = shared_from_this()]
@@ -215,12 +215,12 @@
 
 void caller_link::end_gracefully()
 {
-    if (shutting_ || ended_)
+    if (shutting_down_ || ended_)
         return;
-    shutting_ = true;
-    error_code ignored; // the peer may have left already
+    shutting_down_ = true;
+    error_code ignored; // the peer may already have disconnected
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    arm_timer(linger);
+    arm_timer(close_timeout);
     read();
 }
 
@@ -229,7 +229,7 @@
     if (idle())
         end_gracefully();
     else
-        close_after_ = true;
+        close_after_answer_ = true;
 }
 
 void caller_link::abort()
@@ -238,11 +238,12 @@
     answering_ = false;
     if (in_flight_.empty() && outgoing_.empty())
     {
-        drop();
+        close_socket();
         return;
     }
-    // What is whole still goes out; the missing end tells the caller.
-    close_after_ = true;
+    // Bytes already queued are still sent. The caller detects the abort by the
+    // missing end of the answer.
+    close_after_answer_ = true;
 }
 
 void caller_link::arm_timer(milliseconds after)
@@ -258,38 +259,38 @@
 
 void caller_link::timed_out()
 {
-    // The timer may have fired just as its wait was replaced.
+    // The timer may have expired just as its wait was replaced.
     if (answering_ || timer_.expiry() > std::chrono::steady_clock::now())
         return;
-    if (head_begun_ && !shutting_)
+    if (head_begun_ && !shutting_down_)
     {
         answering_ = true;
         write(hooks_.refuse(status_timeout, "the request came too slowly"));
         finish_answer(true);
         return;
     }
-    if (!shutting_)
+    if (!shutting_down_)
         end_gracefully();
     else
-        drop();
+        close_socket();
 }
 
-void caller_link::gone()
+void caller_link::handle_disconnect()
 {
-    auto const left = std::move(on_gone);
+    auto const notify = std::move(on_gone);
     on_gone = {};
-    drop();
-    if (left)
-        left();
+    close_socket();
+    if (notify)
+        notify();
 }
 
-void caller_link::drop()
+void caller_link::close_socket()
 {
     if (ended_)
         return;
     ended_ = true;
     timer_.cancel();
-    error_code ignored; // the connection is given up anyway
+    error_code ignored; // the connection is abandoned anyway
     socket_.close(ignored);
     hooks_.on_end(this);
 }
--- a/src/entry/caller_link.hpp
+++ b/src/entry/caller_link.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_CALLER_LINK_HPP
 
 /// \file
-/// One connection of a caller: reads requests one after the other, tells when
-/// the caller leaves, and writes answers.
+/// One connection from a caller: reads requests one at a time, reports when
+/// the caller disconnects, and writes answers.
 
 #include <walnutmill/routing_table.hpp>
 
@@ -22,38 +22,44 @@
 namespace walnutmill
 {
 
+/// Server side of one HTTP/1.1 connection from a caller.
 class caller_link : public std::enable_shared_from_this<caller_link>
 {
 public:
     using request_type =
         boost::beast::http::request<boost::beast::http::string_body>;
 
+    /// Callbacks into the owner of the link.
     struct hooks
     {
-        /// A whole request has come; answer it through the link.
+        /// Called for each complete request; the answer goes through the link.
         std::function<void(std::shared_ptr<caller_link>, request_type&&)>
             on_request;
-        /// A request could not be read: the status that says why.
+        /// Called when a request cannot be read or times out. \return the
+        /// bytes of the error answer with this status.
         std::function<std::string(int status, std::string_view why)> refuse;
-        /// Limits in force now.
+        /// \return the limits currently in force.
         std::function<caller_limits()> limits;
+        /// Called once, after the connection is closed.
         std::function<void(caller_link*)> on_end;
     };
 
     caller_link(boost::asio::ip::tcp::socket socket, hooks to);
 
+    /// Starts reading requests; the link stays alive until it is closed.
     void start();
 
-    /// Sends part of an answer, or all of it.
+    /// Queues part or all of an answer for sending; ignored once closed.
     void write(std::string_view bytes);
-    /// The answer is whole: reads the next request, or ends the connection
-    /// once all is written.
+    /// Marks the answer as complete, then reads the next request or, once
+    /// everything is written, closes the connection.
+    /// \param close whether to close it even if the caller did not ask to
     void finish_answer(bool close);
-    /// Ends the connection in the middle of an answer, which must not look
-    /// whole to the caller.
+    /// Closes the connection in the middle of an answer, which must not look
+    /// complete to the caller.
     void abort();
 
-    /// Called once if the caller leaves before its answer is whole.
+    /// Called once if the caller disconnects before its answer is complete.
     std::function<void()> on_gone;
 
     /// \return true while no request is being read or answered and all of the
@@ -62,12 +68,13 @@
     {
         return !answering_ && !reading_request() && unsent() == 0;
     }
-    /// The caller asked to end the connection after this answer.
+    /// \return true if the caller asked to close the connection after this
+    /// answer.
     bool wants_close() const { return wants_close_; }
-    /// Bytes waiting to be written.
+    /// \return the number of bytes waiting to be written.
     std::size_t unsent() const { return outgoing_.size() + in_flight_.size(); }
-    /// No more requests are expected: ends the connection if idle, after the
-    /// answer under way otherwise.
+    /// Closes the connection at once if it is idle, and after the current
+    /// answer otherwise.
     void retire();
 
 private:
@@ -78,17 +85,17 @@
     bool reading_request() const { return !incoming_.empty() || head_begun_; }
     void start_parser();
     void read();
-    void received(error_code const& error, std::size_t size);
+    void handle_read(error_code const& error, std::size_t size);
     void parse();
     void request_done();
     void refuse_request(error_code const& error);
     void flush();
-    void written(error_code const& error);
+    void handle_write(error_code const& error);
     void arm_timer(std::chrono::milliseconds after);
     void timed_out();
     void end_gracefully();
-    void gone();
-    void drop();
+    void handle_disconnect();
+    void close_socket();
 
     boost::asio::ip::tcp::socket socket_;
     boost::asio::steady_timer timer_;
@@ -103,8 +110,8 @@
     bool continue_sent_ = false;
     bool answering_ = false;
     bool wants_close_ = false;
-    bool close_after_ = false;
-    bool shutting_ = false;
+    bool close_after_answer_ = false;
+    bool shutting_down_ = false;
     bool ended_ = false;
 };
 
--- a/src/entry/engine_links.cpp
+++ b/src/entry/engine_links.cpp
@@ -10,24 +10,25 @@
 
 using clock_type = std::chrono::steady_clock;
 
-/// An engine that does not take a connection within this is left for another
-/// one: the way is at most 3 ms long, the handshake 1 ms, and a third of the
-/// shortest target latency (150 ms) is all that a call can spare.
-constexpr std::chrono::milliseconds connect_patience{250};
-/// Idle time of a connection whose engine does not say when it ends it.
-constexpr std::chrono::milliseconds idle_unsaid{3'500};
-/// Before the time that an engine states: a connection that ends just as a
-/// call is sent leaves the call's fate open.
+/// If an engine does not accept a connection within this time, the call tries
+/// another engine. The network latency is at most 3 ms and the handshake takes
+/// 1 ms. A call can spare at most a third of the shortest target latency
+/// (150 ms).
+constexpr std::chrono::milliseconds connect_timeout{250};
+/// Maximum idle time of a connection whose engine does not state a timeout.
+constexpr std::chrono::milliseconds default_idle_timeout{3'500};
+/// Subtracted from the idle timeout that an engine states. If a connection
+/// closes just as a call is sent, it is unknown whether the call was executed.
 constexpr std::chrono::milliseconds idle_margin{500};
-constexpr std::chrono::milliseconds idle_longest{30'000};
+constexpr std::chrono::milliseconds max_idle_timeout{30'000};
 
-bool may_carry(http_link const& link, clock_type::time_point now)
+bool usable(http_link const& link, clock_type::time_point now)
 {
-    auto const idle_at_most =
+    auto const idle_limit =
         link.idle_timeout
-            ? std::min(*link.idle_timeout - idle_margin, idle_longest)
-            : idle_unsaid;
-    return link.reusable() && now - link.idle_since < idle_at_most;
+            ? std::min(*link.idle_timeout - idle_margin, max_idle_timeout)
+            : default_idle_timeout;
+    return link.reusable() && now - link.idle_since < idle_limit;
 }
 
 } // namespace
@@ -43,11 +44,11 @@
 {
     auto const all = std::move(engines_);
     engines_.clear();
-    for (auto const& [id, conns] : all)
+    for (auto const& [id, pool] : all)
     {
-        for (auto const& link : conns.idle)
+        for (auto const& link : pool.idle)
             link->close();
-        for (auto const& link : conns.in_use)
+        for (auto const& link : pool.in_use)
             link->close();
     }
 }
@@ -55,39 +56,39 @@
 engine_links::link_ptr engine_links::take(
     engine_ref const& engine, std::string const& address, std::uint32_t limit)
 {
-    auto& conns = engines_[engine.id];
+    auto& pool = engines_[engine.id];
     auto const now = clock_type::now();
-    if (conns.incarnation != engine.incarnation)
+    if (pool.incarnation != engine.incarnation)
         restarted(engine.id);
-    conns.incarnation = engine.incarnation;
-    while (!conns.idle.empty())
+    pool.incarnation = engine.incarnation;
+    while (!pool.idle.empty())
     {
-        // The one used last is the least likely to be ended by the engine.
-        auto link = std::move(conns.idle.back());
-        conns.idle.pop_back();
-        if (may_carry(*link, now))
+        // The engine is least likely to close the most recently used one.
+        auto link = std::move(pool.idle.back());
+        pool.idle.pop_back();
+        if (usable(*link, now))
         {
-            conns.in_use.push_back(link);
+            pool.in_use.push_back(link);
             return link;
         }
         link->close();
     }
     auto const peer = endpoint_of(address);
-    if (!peer || conns.in_use.size() >= limit)
+    if (!peer || pool.in_use.size() >= limit)
         return nullptr;
-    conns.in_use.push_back(
-        std::make_shared<http_link>(io_, *peer, connect_patience));
-    return conns.in_use.back();
+    pool.in_use.push_back(
+        std::make_shared<http_link>(io_, *peer, connect_timeout));
+    return pool.in_use.back();
 }
 
 void engine_links::give_back(engine_ref const& engine, link_ptr const& link)
 {
-    auto& conns = engines_[engine.id];
-    conns.in_use.erase(
-        std::remove(conns.in_use.begin(), conns.in_use.end(), link),
-        conns.in_use.end());
-    if (link->reusable() && conns.incarnation == engine.incarnation)
-        conns.idle.push_back(link);
+    auto& pool = engines_[engine.id];
+    pool.in_use.erase(
+        std::remove(pool.in_use.begin(), pool.in_use.end(), link),
+        pool.in_use.end());
+    if (link->reusable() && pool.incarnation == engine.incarnation)
+        pool.idle.push_back(link);
     else
         link->close();
 }
@@ -96,7 +97,7 @@
 {
     auto const found = engines_.find(engine);
     return found != engines_.end() && !found->second.idle.empty() &&
-           may_carry(*found->second.idle.back(), clock_type::now());
+           usable(*found->second.idle.back(), clock_type::now());
 }
 
 void engine_links::drop_idle(target_name const& engine)
@@ -116,11 +117,11 @@
     if (found == engines_.end())
         return;
     found->second.incarnation.reset();
-    // Calls that end take themselves off the list.
+    // Calls that end remove their link from in_use, so it is moved out first.
     auto const in_use = std::move(found->second.in_use);
     found->second.in_use.clear();
     for (auto const& link : in_use)
-        link->break_off();
+        link->fail_exchange();
 }
 
 void engine_links::sweep(
@@ -129,18 +130,18 @@
     auto const now = clock_type::now();
     for (auto it = engines_.begin(); it != engines_.end();)
     {
-        auto& conns = it->second;
+        auto& pool = it->second;
         auto const registered = still_registered(it->first);
         std::vector<link_ptr> kept;
-        for (auto& link : conns.idle)
+        for (auto& link : pool.idle)
         {
-            if (registered && may_carry(*link, now))
+            if (registered && usable(*link, now))
                 kept.push_back(std::move(link));
             else
                 link->close();
         }
-        conns.idle = std::move(kept);
-        if (!registered && conns.in_use.empty())
+        pool.idle = std::move(kept);
+        if (!registered && pool.in_use.empty())
             it = engines_.erase(it);
         else
             ++it;
--- a/src/entry/engine_links.hpp
+++ b/src/entry/engine_links.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_ENGINE_LINKS_HPP
 
 /// \file
-/// Connections to engines, kept for the next call, within this node's part of
-/// what an engine takes from all nodes.
+/// Pools of persistent connections to engines, limited to this node's share of
+/// the connections that an engine accepts from all nodes.
 
 #include <walnutmill/routing_table.hpp>
 
@@ -24,6 +24,7 @@
 namespace walnutmill
 {
 
+/// Connection pools of one node, one for each engine.
 class engine_links
 {
 public:
@@ -34,39 +35,41 @@
     engine_links(engine_links const&) = delete;
     engine_links& operator=(engine_links const&) = delete;
 
-    /// \return a kept connection, a new one, or null where this node already
-    /// has its part of the engine's connections in use.
+    /// \return an idle connection, a new one, or null if the address is invalid
+    /// or this node already uses its share of the engine's connections.
     /// \param limit connections this node may have to the engine
     link_ptr take(
         engine_ref const& engine, std::string const& address,
         std::uint32_t limit);
 
-    /// The exchange is over: keeps the connection if it can be used again.
+    /// Returns a connection after its exchange; keeps it if it is reusable and
+    /// closes it otherwise.
     void give_back(engine_ref const& engine, link_ptr const& link);
 
-    /// \return true where a kept connection to the engine is free.
+    /// \return true if a usable idle connection to the engine exists.
     bool has_idle(target_name const& engine) const;
 
-    /// Ends the idle connections to an engine: they may be as silent as one
-    /// that just turned out to be.
+    /// Closes the idle connections to an engine. Called after one connection
+    /// stopped responding, since the others may have failed with it.
     void drop_idle(target_name const& engine);
 
-    /// Ends all connections to the engine's former incarnations. Calls on them
-    /// end as broken off, rather than with their callers' patience: an engine
-    /// that crashed behind a partition never resets its connections.
+    /// Closes all connections to the engine's former incarnations. Calls on
+    /// them end as broken at once instead of waiting for the callers' timeouts,
+    /// because an engine that crashed behind a partition never resets its
+    /// connections.
     void restarted(target_name const& engine);
 
-    /// Ends all connections and drops what waits on them without a word: the
-    /// node has stopped. A call and its connection hold each other, so that
-    /// those cut by the stop would outlive the node.
+    /// Closes all connections without calling their handlers, when the node has
+    /// stopped. A call and its connection own each other, so interrupted calls
+    /// would otherwise outlive the node.
     void end_all();
 
-    /// Ends the idle connections to engines that are gone, and those that
-    /// have been idle for long.
+    /// Closes the idle connections to engines that are no longer registered,
+    /// and those that exceed their idle timeout.
     void sweep(std::function<bool(target_name const&)> const& still_registered);
 
 private:
-    struct engine_conns
+    struct engine_pool
     {
         std::optional<engine_incarnation> incarnation;
         std::vector<link_ptr> idle;
@@ -74,7 +77,7 @@
     };
 
     boost::asio::io_context& io_;
-    std::unordered_map<target_name, engine_conns> engines_;
+    std::unordered_map<target_name, engine_pool> engines_;
 };
 
 } // namespace walnutmill
--- a/src/entry/engine_roster.cpp
+++ b/src/entry/engine_roster.cpp
@@ -12,11 +12,11 @@
 
 using std::chrono::milliseconds;
 
-/// Without a reading for this long the store counts as having been away: an
-/// engine's entry lapses after three beats of 1.2 s.
-constexpr milliseconds outage{2'000};
-/// Within this after the store's return lapsed entries are back.
-constexpr milliseconds entries_return{2'000};
+/// If no read succeeds for longer than this, the store counts as having been
+/// unavailable. An engine's entry expires after three heartbeats of 1.2 s.
+constexpr milliseconds outage_threshold{2'000};
+/// Time after the store's recovery within which engines renew expired entries.
+constexpr milliseconds recovery_grace_period{2'000};
 
 } // namespace
 
@@ -26,11 +26,11 @@
 {
     confirm(read_at);
     as_of_ = as_of;
-    engines_by_id present;
+    engines_by_id current;
     for (auto const& one : read)
-        take_in_one(one, present);
-    keep_absent(present);
-    engines_ = std::move(present);
+        merge_entry(one, current);
+    retain_missing(current);
+    engines_ = std::move(current);
     std::vector<engine_entry> to;
     for (auto const& [id, one] : engines_)
         to.push_back(one);
@@ -39,18 +39,19 @@
 
 void engine_roster::confirm(time_point read_at)
 {
-    if (read_at_ != time_point{} && read_at - read_at_ > outage)
-        trust_absence_at_ = read_at + entries_return;
+    if (read_at_ != time_point{} && read_at - read_at_ > outage_threshold)
+        trust_missing_from_ = read_at + recovery_grace_period;
     read_at_ = read_at;
 }
 
-void engine_roster::take_in_one(engine_entry const& read, engines_by_id& to)
+void engine_roster::merge_entry(engine_entry const& read, engines_by_id& to)
 {
     auto const found = engines_.find(read.id);
     auto const* known = found == engines_.end() ? nullptr : &found->second;
-    // A heartbeat of a former incarnation that was written late.
-    auto const late = known != nullptr && read.incarnation < known->incarnation;
-    auto const& one = late ? *known : read;
+    // A heartbeat of a former incarnation may be written late.
+    auto const outdated =
+        known != nullptr && read.incarnation < known->incarnation;
+    auto const& one = outdated ? *known : read;
     if (known != nullptr && known->incarnation < one.incarnation)
         log_engine("engine.restarted", one);
     else if (known == nullptr || known->state != one.state)
@@ -63,17 +64,17 @@
     to.emplace(one.id, one);
 }
 
-void engine_roster::keep_absent(engines_by_id& to)
+void engine_roster::retain_missing(engines_by_id& to)
 {
-    keeps_absent_ = false;
+    retains_missing_ = false;
     for (auto const& [id, one] : engines_)
     {
         if (to.count(id) > 0)
             continue;
-        if (read_at_ < trust_absence_at_)
+        if (read_at_ < trust_missing_from_)
         {
             to.emplace(id, one);
-            keeps_absent_ = true;
+            retains_missing_ = true;
         }
         else
             log_engine("engine.gone", one);
--- a/src/entry/engine_roster.hpp
+++ b/src/entry/engine_roster.hpp
@@ -2,11 +2,13 @@
 #define WALNUTMILL_SRC_ENTRY_ENGINE_ROSTER_HPP
 
 /// \file
-/// The engines that a node takes to be registered, from readings of their
-/// table by itself or by another node.
+/// The engines that a node considers registered, from reads of the engine table
+/// by the node itself or by another node.
 ///
-/// Load pattern: entries lapse while the store is away although their engines
-/// live, and late heartbeats of a former incarnation overwrite newer ones.
+/// Load pattern: entries expire while the store is unavailable although their
+/// engines are alive, and late heartbeats of a former incarnation overwrite
+/// newer ones. Without this component such engines would be treated as gone,
+/// or as their former incarnation.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/routing_table.hpp>
@@ -21,40 +23,41 @@
 namespace walnutmill
 {
 
+/// Merges successive reads of the engine table and logs the changes.
 class engine_roster
 {
 public:
     explicit engine_roster(line_log& log) : log_(log) {}
 
-    /// Takes in a reading.
-    /// \param as_of the store's version that the table was read at
-    /// \param read_at when it was read, later than that of the last one
-    /// \return the engines from now on
+    /// Merges a read of the table.
+    /// \param as_of version of the store at which the table was read
+    /// \param read_at time of the read, later than that of the previous one
+    /// \return the engines now considered registered
     std::vector<engine_entry> take_in(
         std::vector<engine_entry> const& read, std::uint64_t as_of,
         time_point read_at);
 
-    /// The table was read and found as it was.
+    /// Records a read that found the table unchanged.
     void confirm(time_point read_at);
 
-    /// \return true while engines without an entry are kept.
-    bool keeps_absent() const { return keeps_absent_; }
+    /// \return true while engines without an entry are retained.
+    bool keeps_absent() const { return retains_missing_; }
 
 private:
     using engines_by_id = std::unordered_map<target_name, engine_entry>;
 
-    void take_in_one(engine_entry const& read, engines_by_id& to);
-    void keep_absent(engines_by_id& to);
+    void merge_entry(engine_entry const& read, engines_by_id& to);
+    void retain_missing(engines_by_id& to);
     void log_engine(std::string_view event, engine_entry const& one) const;
 
     line_log& log_;
     engines_by_id engines_;
-    /// The store's version of the last reading.
+    /// Version of the store at the last read.
     std::uint64_t as_of_ = 0;
     time_point read_at_{};
-    /// Until then a missing entry does not mean that its engine is gone.
-    time_point trust_absence_at_{};
-    bool keeps_absent_ = false;
+    /// Before this time a missing entry does not mean that its engine is gone.
+    time_point trust_missing_from_{};
+    bool retains_missing_ = false;
 };
 
 } // namespace walnutmill
--- a/src/entry/event_stream.cpp
+++ b/src/entry/event_stream.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// \return the place after the blank line that ends the first event; npos
-/// while there is none.
+/// \return the position after the blank line that ends the first event; npos
+/// if there is none.
 std::size_t end_of_event(std::string_view text)
 {
     auto const lf = text.find("\n\n");
@@ -20,9 +20,9 @@
     return crlf < lf ? crlf + 3 : lf + 2;
 }
 
-/// \return the value of a line "name: value"; empty where it has another name.
+/// \return the value of a line "name: value"; empty if the name differs.
 std::optional<std::string_view>
-value_of(std::string_view line, std::string_view name)
+field_value(std::string_view line, std::string_view name)
 {
     if (line.substr(0, name.size()) != name ||
         line.substr(name.size(), 1) != ":")
@@ -33,18 +33,18 @@
     return value;
 }
 
-void take_line(stream_event& to, std::string_view line, bool& has_data)
+void parse_line(stream_event& to, std::string_view line, bool& has_data)
 {
     if (!line.empty() && line.back() == '\r')
         line.remove_suffix(1);
-    if (auto const id = value_of(line, "id"))
+    if (auto const id = field_value(line, "id"))
     {
         std::uint64_t number = 0;
         if (boost::conversion::try_lexical_convert(
                 id->data(), id->size(), number))
             to.id = number;
     }
-    else if (auto const data = value_of(line, "data"))
+    else if (auto const data = field_value(line, "data"))
     {
         if (has_data)
             to.data.push_back('\n');
@@ -61,7 +61,7 @@
     while (!text.empty())
     {
         auto const end = std::min(text.find('\n'), text.size() - 1);
-        take_line(to, text.substr(0, end), has_data);
+        parse_line(to, text.substr(0, end), has_data);
         text.remove_prefix(end + 1);
     }
     return to;
@@ -73,16 +73,16 @@
 {
     buffer_.append(bytes);
     std::vector<stream_event> events;
-    std::string_view rest = buffer_;
+    std::string_view unparsed = buffer_;
     for (;;)
     {
-        auto const end = end_of_event(rest);
+        auto const end = end_of_event(unparsed);
         if (end == std::string_view::npos)
             break;
-        events.push_back(parse_event(rest.substr(0, end)));
-        rest.remove_prefix(end);
+        events.push_back(parse_event(unparsed.substr(0, end)));
+        unparsed.remove_prefix(end);
     }
-    buffer_.erase(0, buffer_.size() - rest.size());
+    buffer_.erase(0, buffer_.size() - unparsed.size());
     return events;
 }
 
--- a/src/entry/event_stream.hpp
+++ b/src/entry/event_stream.hpp
@@ -2,7 +2,7 @@
 #define WALNUTMILL_SRC_ENTRY_EVENT_STREAM_HPP
 
 /// \file
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into complete events.
 
 #include <cstdint>
 #include <optional>
@@ -13,23 +13,25 @@
 namespace walnutmill
 {
 
-/// One whole event.
+/// One complete event.
 struct stream_event
 {
     /// As received, with the blank line that ends it.
     std::string text;
+    /// Its id field; empty if absent or not a number.
     std::optional<std::uint64_t> id;
     /// Its data lines, joined by line feeds.
     std::string data;
 };
 
+/// Buffers received bytes until an event is complete.
 class event_cutter
 {
 public:
-    /// \return the events that these bytes complete.
+    /// \return the events completed by these bytes.
     std::vector<stream_event> feed(std::string_view bytes);
 
-    /// \return true while part of an event waits for its rest.
+    /// \return true while an incomplete event is buffered.
     bool partial() const { return !buffer_.empty(); }
 
 private:
--- a/src/entry/http_caller.cpp
+++ b/src/entry/http_caller.cpp
@@ -10,11 +10,12 @@
 namespace
 {
 
-/// An address at which nothing answers within this is taken for dead; the
-/// longest way within a region is 3 ms.
-constexpr std::chrono::milliseconds connect_patience{300};
-/// Idle connections kept to one address: calls at the same moment are few.
-constexpr std::size_t idle_links = 4;
+/// An address that does not accept a connection within this time is considered
+/// down; the longest network latency within a region is 3 ms.
+constexpr std::chrono::milliseconds connect_timeout{300};
+/// Maximum number of idle connections to one address; few calls run
+/// concurrently.
+constexpr std::size_t max_idle_links = 4;
 
 time_point now()
 {
@@ -22,11 +23,11 @@
         std::chrono::steady_clock::now());
 }
 
-struct call_state
+struct pending_call
 {
     http_reply reply;
     std::shared_ptr<boost::asio::steady_timer> timer;
-    time_point began;
+    time_point started_at;
     bool ended = false;
 };
 
@@ -66,52 +67,54 @@
 }
 
 void http_caller::call(
-    std::string const& address, std::string bytes, duration patience,
+    std::string const& address, std::string bytes, duration timeout,
     done_fn done)
 {
-    auto const link = take_link(address);
+    auto const link = idle_or_new_link(address);
     if (!link)
     {
         boost::asio::post(io_, [done = std::move(done)] { done({}); });
         return;
     }
     in_use_.insert(link);
-    auto const one = std::make_shared<call_state>();
-    one->began = now();
-    one->timer = std::make_shared<boost::asio::steady_timer>(io_, patience);
-    one->timer->async_wait(
-        [this, alive = alive_, one, link,
+    auto const pending = std::make_shared<pending_call>();
+    pending->started_at = now();
+    pending->timer = std::make_shared<boost::asio::steady_timer>(io_, timeout);
+    pending->timer->async_wait(
+        [this, alive = alive_, pending, link,
          done](boost::system::error_code const& error)
         {
-            if (error || one->ended || !*alive)
+            if (error || pending->ended || !*alive)
                 return;
-            one->ended = true;
+            pending->ended = true;
             in_use_.erase(link);
             link->close();
-            one->reply.sent = true;
-            done(std::move(one->reply));
+            pending->reply.sent = true;
+            done(std::move(pending->reply));
         });
     http_link::handlers to;
-    to.on_head = [one](http_link::response_head const& head)
-    { one->reply.status = static_cast<int>(head.result_int()); };
-    to.on_body = [one](std::string_view part) { one->reply.body.append(part); };
-    to.on_end = [this, alive = alive_, one, link, address, done](link_end how)
+    to.on_head = [pending](http_link::response_head const& head)
+    { pending->reply.status = static_cast<int>(head.result_int()); };
+    to.on_body = [pending](std::string_view part)
+    { pending->reply.body.append(part); };
+    to.on_end =
+        [this, alive = alive_, pending, link, address, done](link_end how)
     {
-        if (one->ended || !*alive)
+        if (pending->ended || !*alive)
             return;
-        one->ended = true;
-        one->timer->cancel();
-        one->reply.answered = how == link_end::complete;
-        one->reply.sent = how != link_end::not_connected;
-        one->reply.took = now() - one->began;
+        pending->ended = true;
+        pending->timer->cancel();
+        pending->reply.answered = how == link_end::complete;
+        pending->reply.sent = how != link_end::not_connected;
+        pending->reply.took = now() - pending->started_at;
         in_use_.erase(link);
-        return_link(address, link);
-        done(std::move(one->reply));
+        keep_or_close_link(address, link);
+        done(std::move(pending->reply));
     };
     link->exchange(std::move(bytes), request_id(), std::move(to));
 }
 
-http_caller::link_ptr http_caller::take_link(std::string const& address)
+http_caller::link_ptr http_caller::idle_or_new_link(std::string const& address)
 {
     auto& links = idle_[address];
     while (!links.empty())
@@ -125,13 +128,13 @@
     auto const peer = endpoint_of(address);
     if (!peer)
         return nullptr;
-    return std::make_shared<http_link>(io_, *peer, connect_patience);
+    return std::make_shared<http_link>(io_, *peer, connect_timeout);
 }
 
-void http_caller::return_link(std::string const& address, link_ptr link)
+void http_caller::keep_or_close_link(std::string const& address, link_ptr link)
 {
     auto& links = idle_[address];
-    if (!link->reusable() || links.size() >= idle_links)
+    if (!link->reusable() || links.size() >= max_idle_links)
         link->close();
     else
         links.push_back(std::move(link));
--- a/src/entry/http_caller.hpp
+++ b/src/entry/http_caller.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_HTTP_CALLER_HPP
 
 /// \file
-/// Short HTTP calls to the store and to other nodes, over kept connections,
-/// each with a time limit.
+/// Short HTTP calls to the store and to other nodes over persistent
+/// connections, each with a timeout.
 
 #include <walnutmill/clock.hpp>
 
@@ -23,26 +23,28 @@
 namespace walnutmill
 {
 
-/// What became of a short call.
+/// Result of a short call.
 struct http_reply
 {
-    /// A whole answer came.
+    /// A complete answer was received.
     bool answered = false;
-    /// The request may have been read.
+    /// The server may have read the request.
     bool sent = false;
     int status = 0;
     std::string body;
+    /// Time from the call to the end of its exchange; zero after a timeout.
     duration took{0};
 };
 
-/// \return a POST request with a CBOR body, as nodes send it to each other.
+/// \return a POST request with a CBOR body, in the form nodes exchange.
 std::string cbor_request(
     std::string_view path, std::string const& address,
     nlohmann::json const& body);
-/// The same of a body that is CBOR already.
+/// Like cbor_request(), for a body that is already encoded as CBOR.
 std::string cbor_bytes_request(
     std::string_view path, std::string const& address, std::string_view body);
 
+/// HTTP client with a pool of idle connections per address.
 class http_caller
 {
 public:
@@ -54,22 +56,24 @@
     http_caller& operator=(http_caller const&) = delete;
 
     /// \param address IP:PORT
-    /// \param bytes the whole request
-    /// \param done called once, later; not after the caller's end
+    /// \param bytes the complete request
+    /// \param timeout time until the call ends without an answer
+    /// \param done called once, asynchronously; not called after the
+    /// http_caller is destroyed
     void call(
-        std::string const& address, std::string bytes, duration patience,
+        std::string const& address, std::string bytes, duration timeout,
         done_fn done);
 
 private:
     using link_ptr = std::shared_ptr<http_link>;
 
-    link_ptr take_link(std::string const& address);
-    void return_link(std::string const& address, link_ptr link);
+    link_ptr idle_or_new_link(std::string const& address);
+    void keep_or_close_link(std::string const& address, link_ptr link);
 
     boost::asio::io_context& io_;
     std::unordered_map<std::string, std::vector<link_ptr>> idle_;
-    /// Links with a call under way: each is held by its own handlers, so they
-    /// are closed when the caller ends.
+    /// Links with a call in progress. Their handlers keep them alive, so the
+    /// destructor closes them explicitly.
     std::unordered_set<link_ptr> in_use_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/entry/http_link.cpp
+++ b/src/entry/http_link.cpp
@@ -18,21 +18,21 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// Unacknowledged bytes after which the kernel gives a connection up. Below
-/// the two seconds after which callers abandon a silent stream, and above
-/// what a retransmission of a lost packet takes.
-constexpr int silence_ms = 1'500;
-/// Seconds without a byte until a probe, and between probes; a silent peer
-/// is found within about three seconds.
-constexpr int keepalive_s = 1;
+/// Time that sent bytes may stay unacknowledged before the kernel closes the
+/// connection. It is below the two seconds after which callers abandon a silent
+/// stream, and above the time that retransmitting a lost packet takes.
+constexpr int unacknowledged_timeout_ms = 1'500;
+/// Seconds without traffic before the first keepalive probe, and between
+/// probes. An unresponsive peer is detected within about three seconds.
+constexpr int keepalive_interval_s = 1;
 constexpr int keepalive_probes = 2;
 
-/// An answer's head may be this large; engines' heads are below 1 KB.
-constexpr std::uint32_t head_limit = 65'536;
+/// Maximum size of an answer's head; heads from engines are below 1 KB.
+constexpr std::uint32_t max_head_bytes = 65'536;
 
 void set_option(tcp::socket& socket, int level, int name, int value)
 {
-    // A kernel without the option only notices silence later.
+    // A kernel without the option only detects an unresponsive peer later.
     (void)::setsockopt(
         socket.native_handle(), level, name, &value, sizeof(value));
 }
@@ -55,13 +55,14 @@
     return tcp::endpoint(address, port);
 }
 
-void watch_for_silence(tcp::socket& socket)
+void enable_dead_peer_detection(tcp::socket& socket)
 {
     set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_s);
-    set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_s);
+    set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_interval_s);
+    set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval_s);
     set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
-    set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, silence_ms);
+    set_option(
+        socket, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_timeout_ms);
 }
 
 http_link::http_link(
@@ -92,23 +93,23 @@
     closed_ = true;
     busy_ = false;
     handlers_.reset();
-    on_idle_end = {};
-    drop_connection();
+    on_idle_close = {};
+    close_socket();
 }
 
-void http_link::break_off()
+void http_link::fail_exchange()
 {
     if (closed_)
         return;
-    drop_connection();
+    close_socket();
     finish(link_end::broken);
 }
 
-void http_link::drop_connection()
+void http_link::close_socket()
 {
     connected_ = false;
     connect_timer_.cancel();
-    boost::system::error_code ignored; // the connection is given up anyway
+    boost::system::error_code ignored; // the connection is abandoned anyway
     socket_.close(ignored);
 }
 
@@ -119,28 +120,28 @@
         [self = shared_from_this()](error_code const& error)
         {
             if (!error && !self->connected_ && !self->closed_)
-                self->drop_connection();
+                self->close_socket();
         });
     socket_.async_connect(
         peer_, [self = shared_from_this()](error_code const& error)
-        { self->connected(error); });
+        { self->handle_connect(error); });
 }
 
-void http_link::connected(error_code const& error)
+void http_link::handle_connect(error_code const& error)
 {
     connect_timer_.cancel();
     if (closed_)
         return;
     if (error || !socket_.is_open())
     {
-        drop_connection();
+        close_socket();
         finish(link_end::not_connected);
         return;
     }
     connected_ = true;
-    boost::system::error_code ignored; // only a matter of speed
+    boost::system::error_code ignored; // affects only latency
     socket_.set_option(tcp::no_delay(true), ignored);
-    watch_for_silence(socket_);
+    enable_dead_peer_detection(socket_);
     send();
     read();
 }
@@ -153,10 +154,10 @@
         [self = shared_from_this()](error_code const& error, std::size_t)
         {
             self->writing_ = false;
-            // An answer may have come before the failure: the reading side
-            // ends the exchange.
+            // An answer may have arrived before the failure, so the read
+            // side ends the exchange.
             if (error && !self->closed_)
-                self->spoiled_ = true;
+                self->not_reusable_ = true;
         });
 }
 
@@ -165,20 +166,21 @@
     socket_.async_read_some(
         asio::buffer(chunk_),
         [self = shared_from_this()](error_code const& error, std::size_t size)
-        { self->received(error, size); });
+        { self->handle_read(error, size); });
 }
 
-void http_link::received(error_code const& error, std::size_t size)
+void http_link::handle_read(error_code const& error, std::size_t size)
 {
     if (closed_)
         return;
     if (error)
     {
-        // An answer without a length ends with its connection, but only a
-        // proper end makes it whole: after a reset bytes may be missing.
-        auto const proper_end = error == asio::error::eof;
-        drop_connection();
-        if (busy_ && proper_end && parser_ && head_taken_ && !skipping_ &&
+        // An answer without a length ends with its connection. Only an
+        // orderly close makes it complete, since bytes may be missing after
+        // a reset.
+        auto const orderly_close = error == asio::error::eof;
+        close_socket();
+        if (busy_ && orderly_close && parser_ && head_received_ && !skipping_ &&
             parser_->need_eof())
         {
             error_code at_end;
@@ -192,9 +194,9 @@
     incoming_.append(chunk_.data(), size);
     if (!busy_)
     {
-        // Bytes that no request asked for belong to none.
-        spoiled_ = true;
-        drop_connection();
+        // Bytes that arrive outside an exchange belong to no request.
+        not_reusable_ = true;
+        close_socket();
         finish(link_end::broken);
         return;
     }
@@ -208,9 +210,9 @@
 {
     parser_.emplace();
     parser_->eager(true);
-    parser_->header_limit(head_limit);
+    parser_->header_limit(max_head_bytes);
     parser_->body_limit(boost::none);
-    head_taken_ = false;
+    head_received_ = false;
     skipping_ = false;
 }
 
@@ -223,7 +225,7 @@
     }
 }
 
-/// \return false when more bytes are needed or the exchange has ended.
+/// \return false if more bytes are needed or the exchange has ended.
 bool http_link::parse_some()
 {
     error_code error;
@@ -233,26 +235,26 @@
         error = {};
     if (error)
     {
-        drop_connection();
+        close_socket();
         finish(link_end::broken);
         return false;
     }
-    if (parser_->is_header_done() && !head_taken_ && !take_head())
+    if (parser_->is_header_done() && !head_received_ && !process_head())
         return true;
-    if (head_taken_)
+    if (head_received_)
         deliver_body();
     if (closed_ || !busy_)
         return false;
     if (parser_->is_done())
     {
-        answer_done();
+        finish_answer();
         return true;
     }
     return used > 0;
 }
 
-/// \return false where the head is an interim one and the parser was reset.
-bool http_link::take_head()
+/// \return false if the head is an interim (1xx) one and the parser was reset.
+bool http_link::process_head()
 {
     constexpr unsigned first_final_status = 200;
     if (parser_->get().result_int() < first_final_status)
@@ -260,7 +262,7 @@
         start_parser();
         return false;
     }
-    head_taken_ = true;
+    head_received_ = true;
     skipping_ = !platform::answers_request(parser_->get(), expected_);
     auto const to = handlers_;
     if (!skipping_ && to && to->on_head)
@@ -280,20 +282,20 @@
         to->on_body(piece);
 }
 
-void http_link::answer_done()
+void http_link::finish_answer()
 {
     if (skipping_)
     {
         start_parser();
         return;
     }
-    // A server may answer before it has read all of a long request: the next
-    // one would stand where the rest of this one is due.
+    // A server may answer before it has read all of a long request. It would
+    // then take the next request for the remainder of this one.
     if (!parser_->keep_alive() || !incoming_.empty() || writing_)
-        spoiled_ = true;
+        not_reusable_ = true;
     incoming_.clear();
-    if (spoiled_)
-        drop_connection();
+    if (not_reusable_)
+        close_socket();
     finish(link_end::complete);
 }
 
@@ -301,9 +303,9 @@
 {
     if (!busy_)
     {
-        auto const idle_end = std::move(on_idle_end);
-        if (idle_end)
-            idle_end();
+        auto const notify = std::move(on_idle_close);
+        if (notify)
+            notify();
         return;
     }
     busy_ = false;
--- a/src/entry/http_link.hpp
+++ b/src/entry/http_link.hpp
@@ -2,12 +2,12 @@
 #define WALNUTMILL_SRC_ENTRY_HTTP_LINK_HPP
 
 /// \file
-/// One connection of ours to an HTTP server: an engine, the store or another
-/// node. One exchange at a time.
+/// One outgoing connection to an HTTP server: an engine, the store or another
+/// node. It carries one exchange at a time.
 ///
-/// Built on Boost.Beast, the foundation of the HTTP library: that library
-/// repeats a request by itself when a kept connection turns out closed, and
-/// cannot show bytes that follow an answer.
+/// It uses Boost.Beast directly rather than the HTTP library built on it. That
+/// library resends a request by itself when a persistent connection turns out
+/// to be closed, and does not expose bytes that follow an answer.
 
 #include <walnutmill/ids.hpp>
 
@@ -31,34 +31,37 @@
 /// How an exchange ended.
 enum class link_end
 {
-    /// The whole answer came.
+    /// The complete answer was received.
     complete,
-    /// No connection came about: not a byte of the request left.
+    /// The connection was not established; no byte of the request was sent.
     not_connected,
-    /// The connection ended, or bytes came that are no answer, before the
-    /// whole answer; the request may have been read.
+    /// The connection closed, or invalid bytes arrived, before the answer was
+    /// complete. The server may have read the request.
     broken
 };
 
-/// The address IP:PORT; empty where the text is none.
+/// \return the endpoint of an address IP:PORT (IPv4); empty if it is invalid.
 std::optional<boost::asio::ip::tcp::endpoint>
 endpoint_of(std::string_view text);
 
-/// Makes a socket notice a peer that went silent without a reset.
-void watch_for_silence(boost::asio::ip::tcp::socket& socket);
+/// Sets the socket options that detect a peer that stops responding without a
+/// reset. Options that the kernel lacks are ignored.
+void enable_dead_peer_detection(boost::asio::ip::tcp::socket& socket);
 
+/// Client side of one HTTP/1.1 connection.
 class http_link : public std::enable_shared_from_this<http_link>
 {
 public:
     using response_head = boost::beast::http::response_header<>;
 
+    /// Callbacks of one exchange.
     struct handlers
     {
-        /// The head of the answer; its body follows.
+        /// Called with the head of the answer, before its body.
         std::function<void(response_head const&)> on_head;
-        /// Bytes of the body as they come.
+        /// Called with bytes of the body as they arrive.
         std::function<void(std::string_view)> on_body;
-        /// Called once, last, and never after close().
+        /// Called once, after the other handlers, and never after close().
         std::function<void(link_end)> on_end;
     };
 
@@ -66,27 +69,29 @@
         boost::asio::io_context& io, boost::asio::ip::tcp::endpoint peer,
         std::chrono::milliseconds connect_timeout);
 
-    /// Sends a request, connecting first where needed.
+    /// Sends a request, connecting first if needed.
+    /// \param bytes the complete request
     /// \param expected id that the answer has to echo; answers with another
-    /// one are passed over. Empty: any answer is taken.
+    /// id are skipped. If empty, any answer is accepted.
     void exchange(std::string bytes, request_id expected, handlers to);
 
-    /// Ends the connection at once; no handler is called afterwards.
+    /// Closes the connection at once; no handler is called afterwards.
     void close();
 
-    /// Ends the connection as if its peer had: for a peer that is known to be
-    /// gone, whose silence no reset may ever end.
-    void break_off();
+    /// Closes the connection and ends the exchange as if the peer had closed
+    /// it. For a peer that is known to have failed and may never send a reset.
+    void fail_exchange();
 
-    /// \return true while connected with no exchange under way and nothing
-    /// that would spoil the next answer.
-    bool reusable() const { return connected_ && !busy_ && !spoiled_; }
+    /// \return true while connected, with no exchange in progress and
+    /// nothing pending that would corrupt the next answer.
+    bool reusable() const { return connected_ && !busy_ && !not_reusable_; }
 
-    /// Called when an idle connection ends or can't be used any more.
-    std::function<void()> on_idle_end;
+    /// Called when an idle connection closes or can no longer be used.
+    std::function<void()> on_idle_close;
 
+    /// When the last exchange ended.
     std::chrono::steady_clock::time_point idle_since{};
-    /// Idle time after which the peer said that it ends the connection.
+    /// Idle time after which the peer closes the connection, as it stated.
     std::optional<std::chrono::milliseconds> idle_timeout;
 
 private:
@@ -95,18 +100,18 @@
     using error_code = boost::system::error_code;
 
     void connect();
-    void connected(error_code const& error);
+    void handle_connect(error_code const& error);
     void send();
     void read();
-    void received(error_code const& error, std::size_t size);
+    void handle_read(error_code const& error, std::size_t size);
     void parse();
     bool parse_some();
     void start_parser();
-    bool take_head();
+    bool process_head();
     void deliver_body();
-    void answer_done();
+    void finish_answer();
     void finish(link_end how);
-    void drop_connection();
+    void close_socket();
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::socket socket_;
@@ -118,13 +123,13 @@
     std::array<char, 16'384> chunk_{};
     std::optional<parser_type> parser_;
     request_id expected_;
-    /// Shared, so that a handler may end the exchange that it is called for.
+    /// Shared, so that a handler may end the exchange that called it.
     std::shared_ptr<handlers> handlers_;
     bool connected_ = false;
     bool busy_ = false;
-    bool spoiled_ = false;
+    bool not_reusable_ = false;
     bool closed_ = false;
-    bool head_taken_ = false;
+    bool head_received_ = false;
     /// The answer being read belongs to an earlier request.
     bool skipping_ = false;
     bool writing_ = false;
--- a/test/caller_link-test.cpp
+++ b/test/caller_link-test.cpp
@@ -18,11 +18,11 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// More than the kernel's buffers of a connection on the loopback hold.
-constexpr std::size_t large = 33'554'432;
+/// Exceeds the kernel's socket buffers of a loopback connection.
+constexpr std::size_t large_answer_bytes = 33'554'432;
 
-/// A caller and a node's side of its connection, on one loop. The caller reads
-/// nothing until it is told to.
+/// A caller's socket and the node's side of its connection, on one event loop.
+/// The caller reads nothing before read_all().
 struct link_fixture
 {
     asio::io_context io;
@@ -55,15 +55,15 @@
             io.run_one();
     }
 
-    /// Reads to the end of the connection. \return the bytes, and whether it
-    /// ended properly.
+    /// Reads until the connection closes. \return the number of bytes, and
+    /// whether the close was orderly.
     std::pair<std::size_t, bool> read_all()
     {
-        std::string got;
+        std::string received;
         boost::system::error_code how;
         bool done = false;
         asio::async_read(
-            caller, asio::dynamic_buffer(got),
+            caller, asio::dynamic_buffer(received),
             [&](boost::system::error_code const& error, std::size_t)
             {
                 how = error;
@@ -71,45 +71,45 @@
             });
         while (!done)
             io.run_one();
-        return {got.size(), how == asio::error::eof};
+        return {received.size(), how == asio::error::eof};
     }
 };
 
 } // namespace
 
 TEST_CASE_METHOD(
-    link_fixture, "caller link: one that retires writes out its last answer")
+    link_fixture, "caller link: closing when idle first writes the last answer")
 {
     send_request();
-    link->write(std::string(large, 'x'));
+    link->write(std::string(large_answer_bytes, 'x'));
     link->finish_answer(false);
     CHECK(link->unsent() > 0);
     CHECK_FALSE(link->idle());
     link->retire();
-    auto const [size, proper] = read_all();
-    CHECK(size == large);
-    CHECK(proper);
+    auto const [size, orderly] = read_all();
+    CHECK(size == large_answer_bytes);
+    CHECK(orderly);
 }
 
 TEST_CASE_METHOD(
-    link_fixture, "caller link: one that retires lets its answer end")
+    link_fixture, "caller link: closing when idle waits for the current answer")
 {
     send_request();
     link->write("first ");
     link->retire();
     link->write("last");
     link->finish_answer(false);
-    auto const [size, proper] = read_all();
+    auto const [size, orderly] = read_all();
     CHECK(size == 10);
-    CHECK(proper);
+    CHECK(orderly);
 }
 
 TEST_CASE_METHOD(
-    link_fixture, "caller link: one without a request retires at once")
+    link_fixture, "caller link: one without a request closes at once")
 {
     CHECK(link->idle());
     link->retire();
-    auto const [size, proper] = read_all();
+    auto const [size, orderly] = read_all();
     CHECK(size == 0);
-    CHECK(proper);
+    CHECK(orderly);
 }
--- a/test/engine_links-test.cpp
+++ b/test/engine_links-test.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Connections to one engine that answers at once.
+/// Connection pool for one engine that answers immediately.
 struct links_fixture
 {
     boost::asio::io_context io;
@@ -24,7 +24,7 @@
     engine_links links{io};
     engine_ref const ref{target_name("ea"), engine_incarnation()};
 
-    /// One exchange; its answer states that idle time.
+    /// Runs one exchange and sets the idle timeout stated by its answer.
     engine_links::link_ptr exchange(std::optional<milliseconds> stated)
     {
         auto link = links.take(ref, engine.address(), 4);
@@ -73,9 +73,9 @@
 
 TEST_CASE_METHOD(
     links_fixture,
-    "engine links: one that the engine may just be ending is not used")
+    "engine links: one that the engine may be closing is not used")
 {
-    // Half a second is left of the stated time at any moment.
+    // A connection is unused for the last 500 ms of its stated timeout.
     auto const first = exchange(milliseconds(500));
     CHECK_FALSE(links.has_idle(ref.id));
     CHECK(links.take(ref, engine.address(), 4) != first);
@@ -91,7 +91,7 @@
     CHECK_FALSE(links.has_idle(ref.id));
 }
 
-TEST_CASE("engine answer: states when its connection ends, or does not")
+TEST_CASE("engine answer: may state the idle timeout of its connection")
 {
     CHECK(idle_timeout_of("timeout=5") == seconds(5));
     CHECK(idle_timeout_of("max=100, timeout=12") == seconds(12));
--- a/test/event_stream-test.cpp
+++ b/test/event_stream-test.cpp
@@ -7,33 +7,33 @@
 
 using namespace walnutmill;
 
-struct cutter_fixture
+struct splitter_fixture
 {
-    event_cutter cutter;
+    event_cutter splitter;
 };
 
 } // namespace
 
 TEST_CASE_METHOD(
-    cutter_fixture, "events: a whole event is cut with id and data")
+    splitter_fixture, "events: a complete event is split off with id and data")
 {
-    auto const events = cutter.feed("id: 7\ndata: hello\n\n");
+    auto const events = splitter.feed("id: 7\ndata: hello\n\n");
     REQUIRE(events.size() == 1);
     CHECK(events[0].id == 7);
     CHECK(events[0].data == "hello");
     CHECK(events[0].text == "id: 7\ndata: hello\n\n");
-    CHECK_FALSE(cutter.partial());
+    CHECK_FALSE(splitter.partial());
 }
 
 TEST_CASE_METHOD(
-    cutter_fixture, "events: bytes that come one by one make the same events")
+    splitter_fixture, "events: bytes fed one at a time give the same events")
 {
     std::string const text = "id: 1\r\ndata: a\r\ndata: "
                              "b\r\n\r\nweight-versions: 3\nid:2\ndata:c\n\n";
     std::vector<stream_event> events;
     for (char const one : text)
     {
-        for (auto& event : cutter.feed(std::string_view(&one, 1)))
+        for (auto& event : splitter.feed(std::string_view(&one, 1)))
             events.push_back(event);
     }
     REQUIRE(events.size() == 2);
@@ -44,8 +44,8 @@
 }
 
 TEST_CASE_METHOD(
-    cutter_fixture, "events: part of an event is kept back and told")
+    splitter_fixture, "events: an incomplete event is held back and reported")
 {
-    CHECK(cutter.feed("id: 1\ndata: half").empty());
-    CHECK(cutter.partial());
+    CHECK(splitter.feed("id: 1\ndata: half").empty());
+    CHECK(splitter.partial());
 }
