--- a/test/decoder_fuzz-test.cpp
+++ b/test/decoder_fuzz-test.cpp
@@ -28,25 +28,27 @@
 using namespace walnutmill;
 using nlohmann::json;
 
-/// Good input of each decoder, changed at random. The environment variable
-/// WALNUTMILL_FUZZ_SEED plays another seed, WALNUTMILL_FUZZ_ROUNDS more rounds.
+/// Feeds randomly mutated valid input to each decoder. The environment
+/// variables WALNUTMILL_FUZZ_SEED and WALNUTMILL_FUZZ_ROUNDS set the seed and
+/// the number of rounds.
 struct fuzz_fixture
 {
     std::mt19937_64 random{number_of("WALNUTMILL_FUZZ_SEED", 20'261'203)};
     std::uint64_t rounds = number_of("WALNUTMILL_FUZZ_ROUNDS", 4'000);
 
-    static std::uint64_t number_of(char const* name, std::uint64_t otherwise)
+    static std::uint64_t number_of(char const* name, std::uint64_t fallback)
     {
         auto const* text = std::getenv(name);
-        return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+        return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
     }
 
     std::size_t below(std::size_t end) { return random() % end; }
 
-    /// Some bytes are replaced, taken out, doubled or cut off.
-    std::string spoil(std::string text)
+    /// Replaces, removes, inserts, duplicates or truncates bytes at random.
+    std::string mutate(std::string text)
     {
-        static std::string const telling = "{}[]\",:0-9.eE\\\r\n\t \xff";
+        static std::string const syntax_characters =
+            "{}[]\",:0-9.eE\\\r\n\t \xff";
         auto const changes = 1 + below(6);
         for (std::size_t i = 0; i < changes && !text.empty(); ++i)
         {
@@ -60,7 +62,8 @@
                 text.erase(at, 1 + below(12));
                 break;
             case 2:
-                text.insert(at, 1, telling[below(telling.size())]);
+                text.insert(
+                    at, 1, syntax_characters[below(syntax_characters.size())]);
                 break;
             case 3:
                 text.insert(at, text.substr(at, 1 + below(40)));
@@ -73,16 +76,17 @@
         return text;
     }
 
-    /// \param take decodes; it must neither throw nor read out of bounds,
-    /// which the build with sanitizers shows
+    /// \param decode must neither throw nor read out of bounds; sanitizer
+    /// builds detect the latter
     template<class Decode>
-    void play(std::vector<std::string> const& good, Decode const& take)
+    void run_mutated(
+        std::vector<std::string> const& valid_inputs, Decode const& decode)
     {
         for (std::uint64_t i = 0; i < rounds; ++i)
         {
-            auto const bytes = spoil(good[below(good.size())]);
+            auto const bytes = mutate(valid_inputs[below(valid_inputs.size())]);
             INFO("round " << i << ", base64 " << to_base64(bytes));
-            CHECK_NOTHROW(take(bytes));
+            CHECK_NOTHROW(decode(bytes));
         }
     }
 };
@@ -116,7 +120,7 @@
 
 TEST_CASE_METHOD(fuzz_fixture, "fuzz: documents of the store")
 {
-    play(
+    run_mutated(
         {engine_document},
         [](std::string const& bytes)
         {
@@ -125,7 +129,7 @@
             if (one.has_value() != problems.empty())
                 throw std::runtime_error("silent failure");
         });
-    play(
+    run_mutated(
         {configuration_document},
         [](std::string const& bytes)
         {
@@ -145,7 +149,7 @@
         {"ver", 4},
         {"value", to_base64(engine_document)}};
     json const reply{{"rows", {row, row}}, {"ver", 9}, {"truncated", true}};
-    play(
+    run_mutated(
         {reply.dump()},
         [](std::string const& bytes)
         {
@@ -156,10 +160,10 @@
         });
 }
 
-TEST_CASE_METHOD(fuzz_fixture, "fuzz: heads of requests and answers")
+TEST_CASE_METHOD(fuzz_fixture, "fuzz: headers of requests and responses")
 {
     namespace http = boost::beast::http;
-    play(
+    run_mutated(
         {request_bytes},
         [](std::string const& bytes)
         {
@@ -170,7 +174,7 @@
             if (!error && parser.is_header_done())
                 platform::decode_call(parser.get().base(), problems);
         });
-    play(
+    run_mutated(
         {answer_bytes},
         [](std::string const& bytes)
         {
@@ -193,14 +197,14 @@
     answer.verb = quota_verb::answer;
     answer.answer = {
         quota_decision::over_limit, std::chrono::milliseconds(120)};
-    play(
+    run_mutated(
         {encode(ask), encode(answer)},
         [](std::string const& bytes) { decode_quota_message(bytes); });
 }
 
 TEST_CASE_METHOD(fuzz_fixture, "fuzz: events of a stream")
 {
-    play(
+    run_mutated(
         {"id: 1\ndata: some\n\nid: 2\ndata: more\ndata: lines\n\n"},
         [](std::string const& bytes)
         {
@@ -224,7 +228,7 @@
     start_lease lease;
     lease.holder = "n.1";
     lease.former.push_back({"n.0", 1'700'000'000});
-    play(
+    run_mutated(
         {encode(turn), encode(account), encode(lease), "turn 2 1700000000\nx"},
         [](std::string const& bytes)
         {
--- a/test/workspace_document-test.cpp
+++ b/test/workspace_document-test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Workspaces and keys as the platform's configuration and requests bear them.
+/// Decoding of workspaces and API keys from the platform's configuration and
+/// request headers.
 
 #include "platform/call_codec.hpp"
 #include "platform/documents.hpp"
@@ -39,7 +40,7 @@
         return platform::decode_configuration(document.dump(), problems);
     }
 
-    bool refuses(json const& one)
+    bool rejects(json const& one)
     {
         problems = {};
         document["tenants"] = json::array({one});
@@ -64,7 +65,7 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    workspace_document_fixture, "workspace document: a sound one is decoded")
+    workspace_document_fixture, "workspace document: a valid entry is decoded")
 {
     document["tenants"].push_back(tenant);
     auto const table = decode();
@@ -80,7 +81,7 @@
 
 TEST_CASE_METHOD(
     workspace_document_fixture,
-    "workspace document: what is left out sets no limit and no rank")
+    "workspace document: omitted fields set no limit and no rank")
 {
     document["tenants"].push_back({{"name", "archive"}, {"api_keys", {"k1"}}});
     auto const table = decode();
@@ -93,8 +94,8 @@
 
 TEST_CASE_METHOD(
     workspace_document_fixture,
-    "workspace document: without the list no key is needed, an empty one "
-    "closes")
+    "workspace document: no list requires no key, an empty list admits no "
+    "key")
 {
     CHECK(decode()->workspaces.has_value());
     document.erase("tenants");
@@ -103,7 +104,7 @@
 
 TEST_CASE_METHOD(
     workspace_document_fixture,
-    "workspace document: an unsound one is refused with its place")
+    "workspace document: an invalid entry is rejected with its location")
 {
     auto const with = [this](char const* field, json const& value)
     {
@@ -111,18 +112,18 @@
         one[field] = value;
         return one;
     };
-    CHECK(refuses(with("name", "")));
-    CHECK(refuses(with("name", "two\r\nlines")));
-    CHECK(refuses(with("name", 4)));
-    CHECK(refuses(with("rate_per_s", -1)));
-    CHECK(refuses(with("rate_per_s", "many")));
-    CHECK(refuses(with("burst", 1e300)));
-    CHECK(refuses(with("priority", -1)));
-    CHECK(refuses(with("priority", "first")));
-    CHECK(refuses(with("api_keys", {"k1", 2})));
-    CHECK(refuses(with("api_keys", {""})));
-    CHECK(refuses(with("api_keys", {"k1", "k1", std::string(300, 'k')})));
-    CHECK(refuses("archive"));
+    CHECK(rejects(with("name", "")));
+    CHECK(rejects(with("name", "two\r\nlines")));
+    CHECK(rejects(with("name", 4)));
+    CHECK(rejects(with("rate_per_s", -1)));
+    CHECK(rejects(with("rate_per_s", "many")));
+    CHECK(rejects(with("burst", 1e300)));
+    CHECK(rejects(with("priority", -1)));
+    CHECK(rejects(with("priority", "first")));
+    CHECK(rejects(with("api_keys", {"k1", 2})));
+    CHECK(rejects(with("api_keys", {""})));
+    CHECK(rejects(with("api_keys", {"k1", "k1", std::string(300, 'k')})));
+    CHECK(rejects("archive"));
     problems = {};
     document["tenants"] = {{"name", "archive"}};
     CHECK_FALSE(decode());
@@ -134,7 +135,7 @@
 
 TEST_CASE_METHOD(
     workspace_document_fixture,
-    "workspace document: a call's key is known by its digest and not passed")
+    "workspace document: a call's key is decoded to a digest, not sent")
 {
     auto head = head_of_call();
     head.set("X-Api-Key", "k1");
@@ -157,7 +158,7 @@
 
 TEST_CASE_METHOD(
     workspace_document_fixture,
-    "workspace document: two keys are no key, an endless one is nobody's")
+    "workspace document: two keys are rejected, an oversized one has no owner")
 {
     auto head = head_of_call();
     CHECK_FALSE(decode_head(head)->key);
