--- a/include/walnutmill/caller_identity.hpp
+++ b/include/walnutmill/caller_identity.hpp
@@ -2,13 +2,15 @@
 #define WALNUTMILL_CALLER_IDENTITY_HPP
 
 /// \file
-/// Whose call it is, by the key that came with it.
+/// Authentication of a call by its API key.
 ///
-/// Load pattern: a key is taken away while some nodes can't read the
-/// configuration: turned away by the store, cut off, frozen, or fed by a node
-/// that is. A key counts only on a node whose configuration was whole a bounded
-/// time ago; beyond that the node can't tell, and says so. Revocation lists
-/// pushed to nodes are not used: one that is cut off never gets them.
+/// Load: a key is revoked while some nodes cannot read the configuration,
+/// because the store rejects them, they are partitioned or suspended, or they
+/// read it from another node in this state. Without a bound on staleness, such
+/// a node would accept the revoked key indefinitely. A node therefore accepts
+/// keys only while the staleness of its configuration is bounded, and answers
+/// `stale` beyond that. Revocation lists pushed to nodes would not help, since
+/// a partitioned node never receives them.
 
 #include <walnutmill/call.hpp>
 #include <walnutmill/clock.hpp>
@@ -19,17 +21,18 @@
 namespace walnutmill
 {
 
+/// Result of the authentication of a call.
 enum class identity_answer
 {
-    /// The call is a workspace's.
+    /// The key belongs to a workspace.
     identified,
-    /// The route, or the configuration, asks for no key.
+    /// The route or the configuration requires no key.
     anonymous,
-    /// The route asks for a key and none came.
+    /// The route requires a key and the call has none.
     key_missing,
-    /// No workspace of this configuration holds the key.
+    /// The key belongs to no workspace of this configuration.
     key_unknown,
-    /// The configuration is too old to tell.
+    /// The configuration is too stale to accept or reject a key.
     stale
 };
 
@@ -42,12 +45,13 @@
     workspace const* owner = nullptr;
 };
 
-/// \return the age up to which a configuration may decide on keys.
-/// \param revoke_within the time within which a key that was taken away is
-/// refused by all nodes; zero: no bound
+/// \return the maximum staleness of a configuration that may decide on keys.
+/// \param revoke_within time within which all nodes must reject a revoked key;
+/// zero: no bound
 duration longest_trusted_age(duration revoke_within);
 
-/// \param configuration_age since the configuration is known to be whole
+/// \param configuration_age time since the configuration was last confirmed to
+/// be complete and current
 caller_identity identify(
     routing_table const& table, route const& to, call const& one,
     duration configuration_age, duration revoke_within);
--- a/include/walnutmill/denied_keys.hpp
+++ b/include/walnutmill/denied_keys.hpp
@@ -2,12 +2,12 @@
 #define WALNUTMILL_DENIED_KEYS_HPP
 
 /// \file
-/// Keys that were denied a short time ago.
+/// Negative cache of recently denied API keys.
 ///
-/// Load pattern: a caller goes on with a key that was taken away, or somebody
-/// tries keys. A key that no workspace holds may just have been added, so its
-/// first call waits for the next reading of the configuration; later ones are
-/// denied at once.
+/// Load: a caller ttl using a revoked key, or somebody guesses keys. An
+/// unknown key may just have been added, so its first call waits for the next
+/// read of the configuration. Later calls with the key are denied at once.
+/// Without the cache, each of them would wait for a read.
 
 #include <walnutmill/clock.hpp>
 #include <walnutmill/workspace_directory.hpp>
@@ -22,24 +22,27 @@
 namespace walnutmill
 {
 
+/// Bounded, expiring set of key digests.
 class denied_keys
 {
 public:
-    /// \param keeps time for which a denial holds
-    /// \param most keys kept; the oldest yield
+    /// \param ttl lifetime of an entry
+    /// \param max_entries maximum number of entries; the oldest are evicted
+    /// first
     explicit denied_keys(
-        duration keeps = std::chrono::seconds(5), std::size_t most = 1'024);
+        duration ttl = std::chrono::seconds(5),
+        std::size_t max_entries = 1'024);
 
     void add(key_digest const& key, time_point now);
-    /// \return true where the key was denied lately.
+    /// \return true if the key was denied within the lifetime of an entry.
     bool holds(key_digest const& key, time_point now);
 
 private:
-    void drop_old(time_point now);
+    void evict_old(time_point now);
 
-    duration keeps_;
-    std::size_t most_;
-    std::deque<std::pair<time_point, std::string>> order_;
+    duration ttl_;
+    std::size_t max_entries_;
+    std::deque<std::pair<time_point, std::string>> entries_by_age_;
     std::unordered_set<std::string> keys_;
 };
 
--- a/include/walnutmill/routing_table.hpp
+++ b/include/walnutmill/routing_table.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_ROUTING_TABLE_HPP
 
 /// \file
-/// The configuration as the entry nodes use it: routes, services and limits
-/// of one version, and the engines that serve them.
+/// The configuration in the form that entry nodes use: routes, services,
+/// workspaces and limits of one version, and the entries of registered engines.
 
 #include <walnutmill/ids.hpp>
 #include <walnutmill/workspace_directory.hpp>
@@ -19,16 +19,16 @@
 namespace walnutmill
 {
 
-/// What may be repeated on a route.
+/// Whether calls of a route may be retried.
 enum class repeatability
 {
     /// May run any number of times.
     idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// May run at most once for each attempt of a caller.
     at_most_once
 };
 
-/// One of the services that share a route, by weight.
+/// A service that receives a weighted share of the calls of a route.
 struct route_share
 {
     service_name service;
@@ -42,43 +42,47 @@
     /// Begins and ends with a slash.
     std::string prefix;
     repeatability repeats = repeatability::at_most_once;
-    /// The answer is a stream of events.
+    /// The response is an event stream.
     bool streams = false;
-    /// A broken stream may go on at another engine.
+    /// An interrupted stream may resume on another engine.
     bool resumable = false;
-    /// The history of its turns is kept here; callers send new input only.
+    /// The history of turns is stored by the entry nodes; callers send only new
+    /// input.
     bool keeps_turns = false;
+    /// Retention time of stored turns.
     std::chrono::milliseconds kept_for{0};
     std::chrono::milliseconds timeout{0};
     std::chrono::milliseconds target_latency{0};
-    /// Engines that one attempt of a caller may run on.
+    /// Maximum number of engines that one attempt of a caller may run on.
     std::uint32_t max_engines = 1;
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     std::uint32_t rank = 0;
-    /// Serves callers without a key, too.
+    /// Callers without a key are served, too.
     bool open = false;
     std::vector<route_share> shares;
 };
 
-/// How a service's model engines generate.
+/// Properties of the model engines of a service.
 struct engine_model
 {
+    /// Number of turns that an engine generates at the same time.
     std::uint32_t slots = 16;
-    /// Tokens in each event of a stream.
+    /// Tokens per event of a stream.
     std::uint32_t tokens_per_event = 1;
+    /// Size of the prefix cache of an engine, in tokens.
     std::uint64_t cache_tokens = 0;
 };
 
 struct service
 {
     service_name name;
-    /// Connections that one engine takes from all nodes together.
+    /// Maximum number of connections to one engine from all nodes together.
     std::uint32_t max_connections = 64;
-    /// Set for services of model engines.
+    /// Set only for services of model engines.
     std::optional<engine_model> model;
 };
 
-/// Bounds on what callers send.
+/// Limits on the requests and connections of callers.
 struct caller_limits
 {
     std::uint32_t max_header_bytes = 16'384;
@@ -95,33 +99,34 @@
     std::vector<route> routes;
     std::vector<service> services;
     caller_limits limits;
-    /// Empty: callers need no key. Without a single workspace nobody is served
-    /// but on open routes.
+    /// Unset: callers need no key. Set without any workspace: only open routes
+    /// serve callers.
     std::optional<workspace_directory> workspaces;
 
-    /// Sorts the routes for match(); call once after filling them.
+    /// Sorts the routes for match(). Must be called once after filling them.
     void seal();
 
-    /// \return the route with the longest prefix of that path among those of
-    /// the host; null when there is none.
+    /// \return the route of the host with the longest prefix that matches the
+    /// path; null if there is none.
     route const* match(std::string_view host, std::string_view path) const;
 
-    /// \return null when there is no such service.
+    /// \return null if there is no such service.
     service const* find_service(service_name const& name) const;
 };
 
-/// Whether an engine takes new work.
+/// Whether an engine accepts new work.
 enum class engine_state
 {
     ready,
     draining
 };
 
-/// One run of an engine. An engine may start again under its id; it then holds
-/// and knows nothing of before.
+/// One run of an engine process. An engine may restart under the same id; all
+/// state of the previous run, such as caches and calls, is then lost.
 struct engine_incarnation
 {
-    /// When it started, in UTC milliseconds of its own clock; 0: not told.
+    /// Start time in UTC milliseconds by the clock of the engine; 0: not
+    /// reported.
     std::int64_t started_at_ms = 0;
 
     friend bool operator==(engine_incarnation a, engine_incarnation b)
@@ -138,14 +143,14 @@
     }
 };
 
-/// An engine, or one incarnation of it.
+/// Reference to an engine or to one incarnation of it.
 struct engine_ref
 {
     target_name id;
-    /// Empty: whichever runs at present.
+    /// Unset: the current incarnation.
     std::optional<engine_incarnation> incarnation;
 
-    // Not explicit: a name alone stands for the present incarnation.
+    // Implicit conversion: a name alone refers to the current incarnation.
     engine_ref(target_name name) : id(std::move(name)) {}
     engine_ref(target_name name, engine_incarnation one)
         : id(std::move(name)), incarnation(one)
@@ -158,7 +163,7 @@
     }
 };
 
-/// One incarnation of an engine, as it registered itself.
+/// Registration of one incarnation of an engine.
 struct engine_entry
 {
     target_name id;
--- a/include/walnutmill/workspace_directory.hpp
+++ b/include/walnutmill/workspace_directory.hpp
@@ -2,10 +2,10 @@
 #define WALNUTMILL_WORKSPACE_DIRECTORY_HPP
 
 /// \file
-/// The workspaces of one configuration, found by their callers' keys.
+/// The workspaces of one configuration, indexed by API key and by name.
 ///
-/// Keys are held as SHA-256 digests only, so that neither a log line nor a
-/// core dump of a node gives one away.
+/// Keys are stored as SHA-256 digests only, so that neither a log line nor a
+/// core dump of a node reveals a key.
 
 #include <walnutmill/ids.hpp>
 
@@ -20,10 +20,10 @@
 namespace walnutmill
 {
 
-/// SHA-256 of a caller's key.
+/// SHA-256 digest of the API key of a caller.
 struct key_digest
 {
-    /// Hex digits; empty: a value that is no key.
+    /// Hexadecimal digits; empty: not a valid key.
     std::string hex;
 
     friend bool operator==(key_digest const& a, key_digest const& b)
@@ -32,16 +32,16 @@
     }
 };
 
-/// \return the key's digest; that of no key where the text is empty or longer
-/// than any key.
+/// \return the digest of the key; an empty digest if the text is empty or
+/// exceeds the maximum key length.
 key_digest digest_of_key(std::string_view key);
 
-/// Requests that a workspace may make, over all nodes: a token bucket.
+/// Token bucket for the requests of a workspace over all nodes.
 struct rate_limit
 {
-    /// Refill in requests a second; 0: no limit.
+    /// Refill rate in requests per second; 0: no limit.
     double per_second = 0;
-    /// Requests beyond the refill that the bucket holds.
+    /// Bucket size in requests: the burst allowed in addition to the refill.
     double burst = 0;
 
     bool unlimited() const { return per_second <= 0; }
@@ -58,7 +58,7 @@
 struct workspace
 {
     workspace_name name;
-    /// Goes before the routes' ranks; 0 is the most urgent.
+    /// Priority that overrides the rank of the route; 0 is the most urgent.
     std::optional<std::uint32_t> rank;
     rate_limit limit;
 };
@@ -66,12 +66,13 @@
 class workspace_directory
 {
 public:
-    /// \return false where a key or the name belongs to another workspace
-    /// already; nothing is added then.
+    /// \return false, without adding anything, if a key or the name already
+    /// belongs to a workspace.
     bool add(workspace one, std::vector<key_digest> const& keys);
 
-    /// \return null where no workspace holds that key.
+    /// \return null if the key belongs to no workspace.
     workspace const* find(key_digest const& key) const;
+    /// \return null if there is no workspace of that name.
     workspace const* find(workspace_name const& name) const;
     std::size_t size() const { return workspaces_.size(); }
 
@@ -81,11 +82,12 @@
     std::unordered_map<std::string, std::size_t> by_name_;
 };
 
-/// \return an id that is apart from the same id of other workspaces.
+/// \return the id qualified by its workspace, so that equal ids of different
+/// workspaces never collide.
 /// \param owner empty: a caller without a workspace
 std::string scoped_id(workspace_name const& owner, std::string const& id);
 
-/// \return true for an id that scoped_id() may have made.
+/// \return true if the id has the form that scoped_id() produces.
 bool is_scoped(std::string_view id);
 
 } // namespace walnutmill
--- a/src/entry/caller_identity.cpp
+++ b/src/entry/caller_identity.cpp
@@ -5,9 +5,9 @@
 namespace
 {
 
-/// Part of the bound that a configuration's age may reach: the rest is for
-/// clocks that run at different rates.
-constexpr double trusted_part = 0.95;
+/// Fraction of the revocation bound up to which a configuration is trusted. The
+/// remainder is a margin for clocks that run at different rates.
+constexpr double trusted_fraction = 0.95;
 
 } // namespace
 
@@ -34,7 +34,7 @@
     if (revoke_within.count() == 0)
         return duration::max();
     return duration(static_cast<duration::rep>(
-        static_cast<double>(revoke_within.count()) * trusted_part));
+        static_cast<double>(revoke_within.count()) * trusted_fraction));
 }
 
 caller_identity identify(
--- a/src/entry/denied_keys.cpp
+++ b/src/entry/denied_keys.cpp
@@ -3,31 +3,32 @@
 namespace walnutmill
 {
 
-denied_keys::denied_keys(duration keeps, std::size_t most)
-    : keeps_(keeps), most_(most)
+denied_keys::denied_keys(duration ttl, std::size_t max_entries)
+    : ttl_(ttl), max_entries_(max_entries)
 {
 }
 
-void denied_keys::drop_old(time_point now)
+void denied_keys::evict_old(time_point now)
 {
-    while (!order_.empty() &&
-           (order_.size() > most_ || now - order_.front().first > keeps_))
+    while (!entries_by_age_.empty() &&
+           (entries_by_age_.size() > max_entries_ ||
+            now - entries_by_age_.front().first > ttl_))
     {
-        keys_.erase(order_.front().second);
-        order_.pop_front();
+        keys_.erase(entries_by_age_.front().second);
+        entries_by_age_.pop_front();
     }
 }
 
 void denied_keys::add(key_digest const& key, time_point now)
 {
     if (keys_.insert(key.hex).second)
-        order_.emplace_back(now, key.hex);
-    drop_old(now);
+        entries_by_age_.emplace_back(now, key.hex);
+    evict_old(now);
 }
 
 bool denied_keys::holds(key_digest const& key, time_point now)
 {
-    drop_old(now);
+    evict_old(now);
     return keys_.count(key.hex) > 0;
 }
 
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -22,28 +22,30 @@
 using asio::ip::tcp;
 using std::chrono::milliseconds;
 
-/// Connections that wait to be accepted: callers of a whole failure domain
-/// may come at once when its other nodes stop.
+/// Listen backlog, in connections. The callers of a whole failure domain may
+/// connect at once when its other nodes stop.
 constexpr int backlog = 1'024;
-/// How often idle budgets, idle connections and log lines are seen to.
-constexpr milliseconds tick_every{200};
-/// Every this many ticks idle engine connections are swept.
+/// Interval of the periodic work on budgets, quotas, leases and the log.
+constexpr milliseconds tick_interval{200};
+/// Number of ticks between sweeps of idle engine connections.
 constexpr std::uint64_t sweep_ticks = 5;
-/// How often a partition is looked at: all 64 within five minutes, so that
-/// old rows are a fraction of those in use.
-constexpr milliseconds sweep_every{5'000};
-/// Least time between two readings of configuration and engines, however short
-/// the bounds are: a reading takes up to some 100 ms on a slow store.
-constexpr milliseconds shortest_interval{450};
-/// Readings within the time in which a leaving engine or a new configuration
-/// has to be known: a lost answer is made good by the next one. At 450 ms they
-/// were a fifth of all calls to the store on 13 nodes and a third on 64.
-constexpr int readings_in_bound = 3;
-/// Part of a process's memory that cached turns may take.
-constexpr std::uint64_t cache_part = 8;
-constexpr std::size_t bytes_in_mb = 1'048'576;
+/// Interval between sweeps of one partition each. All 64 partitions are swept
+/// within about five minutes, so that expired rows stay a fraction of the rows
+/// in use.
+constexpr milliseconds sweep_interval{5'000};
+/// Minimum interval between reads of configuration and engines, however short
+/// the configured bounds are. A read takes up to about 100 ms on a slow store.
+constexpr milliseconds min_read_interval{450};
+/// Reads within the time in which a draining engine or a new configuration has
+/// to be known, so that the next read makes up for a lost answer. With an
+/// interval of 450 ms, these reads are a fifth of all store calls on 13 nodes
+/// and a third on 64.
+constexpr int reads_per_bound = 3;
+/// The turn cache may take the process's memory divided by this.
+constexpr std::uint64_t cache_memory_divisor = 8;
+constexpr std::size_t bytes_per_mb = 1'048'576;
 
-/// Goes on while the machine is suspended, as the steady clock does not.
+/// Unlike the steady clock, this clock advances while the machine is suspended.
 time_point boot_now()
 {
     timespec now{};
@@ -64,37 +66,41 @@
     return static_cast<std::uint32_t>(stable_hash(text));
 }
 
-/// \return a name of this process that no other one ever had.
+/// \return an identifier of this process that is unique over time: the node
+/// name and 64 random bits.
 std::string new_incarnation(std::string const& node)
 {
     std::random_device device;
-    std::uint64_t const drawn =
+    std::uint64_t const random_bits =
         (static_cast<std::uint64_t>(device()) << 32U) | device();
     constexpr int base = 36;
     std::string text;
-    for (auto rest = drawn; rest > 0; rest /= base)
-        text.push_back("0123456789abcdefghijklmnopqrstuvwxyz"[rest % base]);
+    for (auto remaining = random_bits; remaining > 0; remaining /= base)
+        text.push_back(
+            "0123456789abcdefghijklmnopqrstuvwxyz"[remaining % base]);
     return node + "." + text;
 }
 
-stall_options stalls_of(entry_settings const& settings)
+stall_options stall_options_of(entry_settings const& settings)
 {
     stall_options to;
     to.least = settings.stall_least;
     return to;
 }
 
-/// A turn that was served is kept if that is possible at all; one that needs
-/// its history is refused at once while there is no reading it.
-versioned_store history_calls(store_client& store)
+/// Store access of the turn history. Commits are retried, so that a served turn
+/// is stored whenever possible. Reads fail fast, so that a turn whose history
+/// cannot be read is refused at once.
+versioned_store history_store(store_client& store)
 {
     auto to = store.calls(store_client::when_lost::fail_at_once);
     to.commit = store.calls(store_client::when_lost::try_on).commit;
     return to;
 }
 
-/// All members renew rows of one partition.
-versioned_store view_calls(store_client& store)
+/// Store access of the platform view. Commits are tried once, since all members
+/// renew rows of the same partition.
+versioned_store view_store(store_client& store)
 {
     auto to = store.calls(store_client::when_lost::try_on);
     to.commit = store.calls(store_client::when_lost::try_once).commit;
@@ -108,7 +114,7 @@
     auto bound = std::min(settings.apply_within, settings.drain_within);
     if (settings.revoke_within.count() > 0)
         bound = std::min(bound, settings.revoke_within);
-    return std::max(shortest_interval, bound / readings_in_bound);
+    return std::max(min_read_interval, bound / reads_per_bound);
 }
 
 void entry_node::call_later(duration after, std::function<void()> what)
@@ -122,8 +128,9 @@
         });
 }
 
-entry_node::entry_node(entry_settings settings, reread_fn reread)
-    : settings_(std::move(settings)), reread_(std::move(reread)),
+entry_node::entry_node(
+    entry_settings settings, settings_reader_fn read_settings)
+    : settings_(std::move(settings)), read_settings_(std::move(read_settings)),
       clock_(steady_now), incarnation_(new_incarnation(settings_.node)),
       log_(
           settings_.node, clock_, descriptor_sink(STDOUT_FILENO),
@@ -137,7 +144,7 @@
                    reachable ? "store.regained" : "store.lost", {{"why", why}});
            },
            [this] { view_.refresh(); }, &counters_}),
-      board_(
+      balancer_(
           zone_name(settings_.domain), clock_,
           seeded_random(seed_of(incarnation_ + "board"))),
       links_(io_),
@@ -149,28 +156,28 @@
           incarnation_, options_of_ledger(), &leases_),
       budgets_(
           io_, ledger_, clock_, settings_.node, incarnation_, {},
-          settings_.strength),
-      history_(history_calls(store_), options_of_history()),
-      turns_of_peers_(io_, history_, clock_, settings_.node, settings_.domain),
-      loads_(io_, board_, clock_, settings_.node, settings_.strength),
+          settings_.capacity_weight),
+      history_(history_store(store_), options_of_history()),
+      peer_history_(io_, history_, clock_, settings_.node, settings_.domain),
+      loads_(io_, balancer_, clock_, settings_.node, settings_.capacity_weight),
       quotas_(
-          clock_, settings_.node, settings_.strength, settings_.quota,
+          clock_, settings_.node, settings_.capacity_weight, settings_.quota,
           quota_hooks()),
       sweeper_(
           store_.calls(store_client::when_lost::fail_at_once), system_utc(),
           swept_tables()),
-      view_caller_(io_),
+      sections_client_(io_),
       services_{
           io_,
           clock_,
           seeded_random(seed_of(incarnation_ + "calls")),
-          board_,
+          balancer_,
           links_,
           budgets_,
           history_,
           log_,
           counters_,
-          stalls_of(settings_),
+          stall_options_of(settings_),
           repeat_allowance(),
           ranks_under_way(),
           nullptr,
@@ -181,20 +188,20 @@
           [this] { return store_.lost_for(); },
           {}},
       view_(
-          io_, view_calls(store_), clock_,
+          io_, view_store(store_), clock_,
           seeded_random(seed_of(incarnation_ + "view")), log_,
           {settings_.node, settings_.listen_peers, settings_.domain,
-           incarnation_, settings_.strength},
+           incarnation_, settings_.capacity_weight},
           read_interval(settings_), view_hooks()),
-      callers_(io_), ready_(io_), peers_(io_), metrics_(io_),
-      signals_(io_, SIGTERM, SIGHUP, SIGINT), tick_timer_(io_),
-      stop_timer_(io_), sweep_timer_(io_)
+      caller_acceptor_(io_), ready_acceptor_(io_), peer_acceptor_(io_),
+      metrics_acceptor_(io_), signals_(io_, SIGTERM, SIGHUP, SIGINT),
+      tick_timer_(io_), stop_timer_(io_), sweep_timer_(io_)
 {
     services_.before_choice = [this](std::function<void()> choose)
     { loads_.before_choice(std::move(choose)); };
     services_.on_calls_changed = [this] { loads_.calls_changed(); };
     connect_workspaces();
-    board_.is_connected = [this](target_name const& engine)
+    balancer_.is_connected = [this](target_name const& engine)
     { return links_.has_idle(engine); };
     loads_.on_rest =
         [this](target_name const& engine, recent_outcomes const& seen)
@@ -244,7 +251,7 @@
             {
                 auto const link =
                     std::make_shared<caller_link>(std::move(socket), hooks);
-                if (&on == &callers_)
+                if (&on == &caller_acceptor_)
                     caller_links_.insert(link.get());
                 link->start();
             }
@@ -264,7 +271,8 @@
 {
     history_options to;
     to.cache_bytes = std::min<std::size_t>(
-        to.cache_bytes, settings_.memory_mb * bytes_in_mb / cache_part);
+        to.cache_bytes,
+        settings_.memory_mb * bytes_per_mb / cache_memory_divisor);
     to.later = [this](milliseconds after, std::function<void()> what)
     { call_later(after, std::move(what)); };
     return to;
@@ -276,7 +284,7 @@
     to.is_home = [this](std::string const& partition)
     { return budgets_.is_home_of(partition); };
     to.is_alive = [this](std::string const& incarnation)
-    { return living_.count(incarnation) > 0; };
+    { return live_incarnations_.count(incarnation) > 0; };
     to.on_event = [this](lease_event const& one)
     {
         counters_.count(
@@ -296,7 +304,7 @@
 void entry_node::set_configuration(std::shared_ptr<routing_table const> table)
 {
     services_.table = std::move(table);
-    // Routes come and go, and with them what callers grant them.
+    // Total call times are kept by route, and the routes may have changed.
     services_.whole_times.clear();
 }
 
@@ -304,31 +312,31 @@
 {
     counters_.gauge(
         "walnutmill_engines_known", static_cast<double>(engines.size()));
-    for (auto const& one : board_.set_engines(engines))
+    for (auto const& one : balancer_.set_engines(engines))
         links_.restarted(one);
 }
 
 void entry_node::set_members(std::vector<entry_member> const& members)
 {
-    std::vector<std::string> relays;
-    std::vector<home_candidate> homes;
+    std::vector<std::string> relay_addresses;
+    std::vector<home_candidate> coordinators;
     std::map<std::string, std::vector<home_candidate>> by_domain;
-    living_.clear();
+    live_incarnations_.clear();
     for (auto const& one : members)
     {
-        living_.insert(one.incarnation);
-        relays.push_back(one.address);
-        home_candidate const home{one.node, one.address, one.strength};
-        homes.push_back(home);
-        by_domain[one.domain].push_back(home);
+        live_incarnations_.insert(one.incarnation);
+        relay_addresses.push_back(one.address);
+        home_candidate const coordinator{one.node, one.address, one.strength};
+        coordinators.push_back(coordinator);
+        by_domain[one.domain].push_back(coordinator);
     }
-    turns_of_peers_.set_nodes(std::move(by_domain));
-    loads_.set_nodes(homes);
-    quotas_.set_nodes(homes);
-    budgets_.set_nodes(std::move(homes));
+    peer_history_.set_nodes(std::move(by_domain));
+    loads_.set_nodes(coordinators);
+    quotas_.set_nodes(coordinators);
+    budgets_.set_nodes(std::move(coordinators));
     leases_.members_known();
     services_.nodes = static_cast<std::uint32_t>(members.size() + 1);
-    store_.set_relays(std::move(relays));
+    store_.set_relays(std::move(relay_addresses));
 }
 
 platform_view::hooks entry_node::view_hooks()
@@ -357,24 +365,25 @@
          {"domain", settings_.domain},
          {"store", settings_.store},
          {"callers", settings_.listen_callers}});
-    if (!listen(callers_, settings_.listen_callers) ||
-        !listen(ready_, settings_.listen_ready) ||
-        !listen(peers_, settings_.listen_peers) ||
+    if (!listen(caller_acceptor_, settings_.listen_callers) ||
+        !listen(ready_acceptor_, settings_.listen_ready) ||
+        !listen(peer_acceptor_, settings_.listen_peers) ||
         !loads_.listen(settings_.listen_peers))
         return false;
-    accept(callers_, caller_hooks());
+    accept(caller_acceptor_, caller_hooks());
     accept(
-        ready_, service_hooks([this](link_ptr const& link, request_type const&)
-                              { answer_ready(link); }));
+        ready_acceptor_,
+        service_hooks([this](link_ptr const& link, request_type const&)
+                      { answer_ready(link); }));
     accept(
-        peers_,
+        peer_acceptor_,
         service_hooks([this](link_ptr const& link, request_type const& request)
                       { answer_peer(link, request); }));
     if (!settings_.listen_metrics.empty() &&
-        listen(metrics_, settings_.listen_metrics))
+        listen(metrics_acceptor_, settings_.listen_metrics))
     {
         accept(
-            metrics_,
+            metrics_acceptor_,
             service_hooks([this](link_ptr const& link, request_type const&)
                           { answer_metrics(link); }));
     }
@@ -403,9 +412,9 @@
     if (++ticks_ % sweep_ticks == 0)
     {
         links_.sweep([this](target_name const& one)
-                     { return board_.known(one); });
+                     { return balancer_.known(one); });
     }
-    tick_timer_.expires_after(tick_every);
+    tick_timer_.expires_after(tick_interval);
     tick_timer_.async_wait(
         [this](boost::system::error_code const& error)
         {
@@ -414,10 +423,11 @@
         });
 }
 
-/// One partition after the other, if this node is the one to sweep it.
+/// Sweeps one partition after the other, skipping those that another node
+/// coordinates.
 void entry_node::sweep_rows()
 {
-    sweep_timer_.expires_after(sweep_every);
+    sweep_timer_.expires_after(sweep_interval);
     sweep_timer_.async_wait(
         [this](boost::system::error_code const& error)
         {
--- a/src/entry/entry_node.hpp
+++ b/src/entry/entry_node.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_ENTRY_NODE_HPP
 
 /// \file
-/// One entry node: its listeners, what it believes of the platform, the calls
-/// under way, and its planned stop.
+/// One entry node: its listeners, its view of the platform, the calls in
+/// flight, and its graceful shutdown.
 
 #include "entry/call_flow.hpp"
 #include "entry/caller_link.hpp"
@@ -36,19 +36,19 @@
 class entry_node
 {
 public:
-    using reread_fn = std::function<entry_settings(findings&)>;
+    using settings_reader_fn = std::function<entry_settings(findings&)>;
 
-    /// \param reread reads the settings again, as they are now
-    entry_node(entry_settings settings, reread_fn reread);
+    /// \param read_settings rereads the settings; called on SIGHUP
+    entry_node(entry_settings settings, settings_reader_fn read_settings);
     ~entry_node();
     entry_node(entry_node const&) = delete;
     entry_node& operator=(entry_node const&) = delete;
 
-    /// Serves until a planned stop is over.
-    /// \return false where an address could not be listened on
+    /// Serves until a graceful shutdown has finished.
+    /// \return false if the node could not listen on one of its addresses
     bool run();
 
-    /// Begins a planned stop, as SIGTERM does. Callable from any thread.
+    /// Begins a graceful shutdown, as SIGTERM does. Thread-safe.
     void request_stop();
 
 private:
@@ -69,7 +69,7 @@
         std::string const& address, std::string const& query,
         platform_view::told_fn const& done);
     void answer_sections(link_ptr const& link, request_type const& request);
-    void carry_store_call(link_ptr const& link, request_type const& request);
+    void relay_store_call(link_ptr const& link, request_type const& request);
 
     bool ready() const;
     void set_configuration(std::shared_ptr<routing_table const> table);
@@ -82,7 +82,8 @@
     void tick();
     start_leases::hooks lease_hooks();
     quota_exchange::hooks quota_hooks();
-    /// \return the time between readings, which may be half as long again.
+    /// \return the interval between reads of the configuration and the engines.
+    /// The actual interval may be up to 50 % longer.
     static std::chrono::milliseconds
     read_interval(entry_settings const& settings);
     void call_later(duration after, std::function<void()> what);
@@ -95,45 +96,45 @@
 
     boost::asio::io_context io_;
     entry_settings settings_;
-    reread_fn reread_;
+    settings_reader_fn read_settings_;
     clock_fn clock_;
     random_fn random_;
     std::string incarnation_;
     line_log log_;
     metrics counters_;
     store_client store_;
-    engine_board board_;
+    engine_board balancer_;
     engine_links links_;
     start_leases leases_;
     program_ledger ledger_;
     budget_desk budgets_;
     turn_history history_;
-    history_exchange turns_of_peers_;
+    history_exchange peer_history_;
     load_exchange loads_;
     quota_exchange quotas_;
     row_sweeper sweeper_;
-    http_caller view_caller_;
+    http_caller sections_client_;
     entry_services services_;
     platform_view view_;
-    acceptor callers_;
-    acceptor ready_;
-    acceptor peers_;
-    acceptor metrics_;
+    acceptor caller_acceptor_;
+    acceptor ready_acceptor_;
+    acceptor peer_acceptor_;
+    acceptor metrics_acceptor_;
     boost::asio::signal_set signals_;
     boost::asio::steady_timer tick_timer_;
     boost::asio::steady_timer stop_timer_;
     std::unordered_set<caller_link*> caller_links_;
-    /// Calls that wait for a newer configuration.
+    /// Continuations of calls that wait for a newer configuration.
     std::vector<std::function<void()>> confirmation_waiters_;
-    /// Incarnations of the other nodes.
-    std::unordered_set<std::string> living_;
+    /// Incarnations of the other nodes that are members.
+    std::unordered_set<std::string> live_incarnations_;
     time_point started_{};
     time_point stop_began_{};
-    bool left_ = false;
-    bool leaving_ = false;
+    bool left_cluster_ = false;
+    bool leave_started_ = false;
     std::uint64_t ticks_ = 0;
     boost::asio::steady_timer sweep_timer_;
-    /// The partition to sweep next.
+    /// Index of the partition to sweep next.
     std::size_t next_partition_ = 0;
 };
 
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// What an entry node answers itself: to callers it can't read, to the
-/// balancer, to whoever looks at its metrics, and to other nodes.
+/// Answers that an entry node produces itself: to callers whose requests cannot
+/// be parsed, to health checks of the load balancer, to metrics scrapes, and to
+/// other nodes.
 
 #include "entry/entry_node.hpp"
 
@@ -13,20 +14,21 @@
 
 using std::chrono::milliseconds;
 
-/// A node that read nothing of the store for this long, itself or through
-/// others, can't start programs: the balancer should use others.
-constexpr milliseconds blind_after{3'500};
+/// Readiness timeout since the last read of the store, directly or through
+/// other nodes. Such a node cannot start programs, so the load balancer should
+/// use others.
+constexpr milliseconds not_ready_after{3'500};
 
-/// Another node's query for the tables it has read.
+/// Path on which a node asks another one for the tables it has read.
 constexpr std::string_view sections_path = "/cluster/sections";
-/// Longest wait for the answer; the store is read instead.
-constexpr milliseconds sections_patience{150};
+/// Timeout of that request. After it, the node reads the store itself.
+constexpr milliseconds sections_timeout{150};
 
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 constexpr int status_bad_request = 400;
 
-std::string plain_answer(int status, std::string text)
+std::string text_answer(int status, std::string text)
 {
     platform::own_answer answer;
     answer.status = status;
@@ -67,7 +69,7 @@
                         link_ptr const& link, request_type&& request)
     { answer(link, request); };
     to.refuse = [](int status, std::string_view why)
-    { return plain_answer(status, std::string(why)); };
+    { return text_answer(status, std::string(why)); };
     to.limits = [] { return caller_limits(); };
     to.on_end = [](caller_link*) {};
     return to;
@@ -75,16 +77,16 @@
 
 bool entry_node::ready() const
 {
-    // The engines come with a reading of their own: until then each call would
-    // be refused for want of an engine.
+    // Engines are read separately from the configuration. Until they are known,
+    // each call would be refused for lack of an engine.
     return services_.table && view_.knows_engines() && !services_.stopping &&
-           clock_() - view_.last_read() < blind_after;
+           clock_() - view_.last_read() < not_ready_after;
 }
 
 void entry_node::answer_ready(link_ptr const& link)
 {
     auto const is_ready = ready();
-    link->write(plain_answer(
+    link->write(text_answer(
         is_ready ? status_ok : status_unavailable,
         is_ready             ? "ready"
         : services_.stopping ? "stopping"
@@ -108,7 +110,7 @@
         static_cast<double>(history_.cached_bytes()));
     counters_.gauge(
         "walnutmill_log_lines_dropped", static_cast<double>(log_.dropped()));
-    link->write(plain_answer(status_ok, counters_.prometheus_text()));
+    link->write(text_answer(status_ok, counters_.prometheus_text()));
     link->finish_answer(false);
 }
 
@@ -118,26 +120,26 @@
         request.target().data(), request.target().size());
     auto const reply = [link](int status, std::string body)
     {
-        link->write(plain_answer(status, std::move(body)));
+        link->write(text_answer(status, std::move(body)));
         link->finish_answer(false);
     };
     if (budget_desk::is_request(target))
         budgets_.serve(target, request.body(), reply);
     else if (history_exchange::is_request(target))
-        turns_of_peers_.serve(target, request.body(), reply);
+        peer_history_.serve(target, request.body(), reply);
     else if (target == sections_path)
         answer_sections(link, request);
     else
-        carry_store_call(link, request);
+        relay_store_call(link, request);
 }
 
 void entry_node::ask_for_sections(
     std::string const& address, std::string const& query,
     platform_view::told_fn const& done)
 {
-    view_caller_.call(
+    sections_client_.call(
         address, cbor_bytes_request(sections_path, address, query),
-        sections_patience,
+        sections_timeout,
         [done](http_reply reply)
         {
             if (reply.answered && reply.status == status_ok)
@@ -151,13 +153,13 @@
     link_ptr const& link, request_type const& request)
 {
     auto answer = view_.serve(request.body());
-    link->write(plain_answer(
+    link->write(text_answer(
         answer ? status_ok : status_unavailable,
         answer ? std::move(*answer) : std::string("nothing was read yet")));
     link->finish_answer(false);
 }
 
-void entry_node::carry_store_call(
+void entry_node::relay_store_call(
     link_ptr const& link, request_type const& request)
 {
     platform::store_request call;
@@ -173,7 +175,7 @@
                 link->abort();
                 return;
             }
-            link->write(plain_answer(reply.status, reply.body));
+            link->write(text_answer(reply.status, reply.body));
             link->finish_answer(false);
         });
 }
--- a/src/entry/entry_node_stop.cpp
+++ b/src/entry/entry_node_stop.cpp
@@ -1,6 +1,10 @@
 /// \file
-/// Signals to an entry node: its settings have changed, or it is to stop as
-/// planned.
+/// Signal handling of an entry node: reload of the settings on SIGHUP, graceful
+/// shutdown on SIGTERM and SIGINT.
+///
+/// Load: planned restarts under traffic. The node keeps serving until the load
+/// balancer has noticed; otherwise the callers that it still sends would be
+/// refused.
 
 #include "entry/entry_node.hpp"
 
@@ -16,15 +20,16 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-/// The balancer asks once a second and needs two misses, so it still sends
-/// callers for this long after a stop began.
-constexpr milliseconds balancer_notices{2'600};
-/// Left of the grace when the process ends whatever is under way.
-constexpr milliseconds end_before_grace{700};
-/// Left of the grace when no further call is taken: the longest one on the
-/// sites' routes takes 3 s.
-constexpr milliseconds last_call_before_end{3'100};
-constexpr milliseconds stop_step_every{50};
+/// Time for which the load balancer may still send callers after a shutdown
+/// began: it checks readiness once a second and needs two failed checks.
+constexpr milliseconds balancer_detection_time{2'600};
+/// Time before the end of the grace period at which the process exits, even
+/// with calls in flight.
+constexpr milliseconds exit_before_grace_end{700};
+/// Time before the exit at which the node stops accepting calls. The longest
+/// call on the configured routes takes 3 s.
+constexpr milliseconds last_accept_before_exit{3'100};
+constexpr milliseconds stop_step_interval{50};
 
 } // namespace
 
@@ -51,7 +56,7 @@
 void entry_node::reload()
 {
     findings problems;
-    auto const fresh = reread_(problems);
+    auto const fresh = read_settings_(problems);
     if (!problems.empty())
     {
         log_.write(
@@ -60,7 +65,7 @@
              {"why", problems.items().front().message}});
         return;
     }
-    // Addresses that the node listens on hold until its next start.
+    // Listen addresses stay in force until the next start.
     settings_.store = fresh.store;
     settings_.stop_grace = fresh.stop_grace;
     settings_.revoke_within = fresh.revoke_within;
@@ -85,39 +90,40 @@
     stop_step();
 }
 
-/// Callers that the balancer still sends are served; connections are ended
-/// only once no request can be on its way on them.
+/// Serves callers that the load balancer still sends. Closes connections only
+/// once no request can be in transit on them.
 void entry_node::stop_step()
 {
     auto const since = clock_() - stop_began_;
-    auto const last = since > settings_.stop_grace - end_before_grace;
-    if (since > settings_.stop_grace - end_before_grace - last_call_before_end)
+    auto const last = since > settings_.stop_grace - exit_before_grace_end;
+    if (since >
+        settings_.stop_grace - exit_before_grace_end - last_accept_before_exit)
     {
         services_.takes_calls = false;
-        boost::system::error_code ignored; // it may be closed already
-        callers_.close(ignored);
+        boost::system::error_code ignored; // may be closed already
+        caller_acceptor_.close(ignored);
     }
-    if (since > balancer_notices && !leaving_)
+    if (since > balancer_detection_time && !leave_started_)
     {
-        leaving_ = true;
+        leave_started_ = true;
         ledger_.settle_all();
         leases_.release_all();
-        view_.leave([this] { left_ = true; });
+        view_.leave([this] { left_cluster_ = true; });
     }
-    if (since > balancer_notices)
+    if (since > balancer_detection_time)
     {
         auto const open = caller_links_;
         for (auto* link : open)
             link->retire();
     }
-    auto const drained = left_ && services_.calls_under_way == 0 &&
+    auto const drained = left_cluster_ && services_.calls_under_way == 0 &&
                          caller_links_.empty() && !ledger_.busy();
     if (drained || last)
     {
         io_.stop();
         return;
     }
-    stop_timer_.expires_after(stop_step_every);
+    stop_timer_.expires_after(stop_step_interval);
     stop_timer_.async_wait(
         [this](boost::system::error_code const& error)
         {
--- a/src/entry/entry_node_workspaces.cpp
+++ b/src/entry/entry_node_workspaces.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What an entry node knows of the workspaces, as its calls use it.
+/// Connects the calls of an entry node to the workspaces: configuration
+/// confirmation for unknown keys, and quota limits.
 
 #include "entry/entry_node.hpp"
 
@@ -10,11 +11,12 @@
 namespace
 {
 
-/// Calls that wait at once for a newer configuration: a flood of unknown keys
-/// is denied without waiting.
-constexpr std::size_t most_waiters = 64;
-/// Time after a start in which other nodes may be starting, too.
-constexpr std::chrono::seconds starting_for{3};
+/// Maximum number of calls that wait for a newer configuration at the same
+/// time. Beyond it, calls with unknown keys are denied without waiting, so that
+/// a flood of them does not pile up.
+constexpr std::size_t max_waiters = 64;
+/// Time after a start within which other nodes may still be starting.
+constexpr std::chrono::seconds startup_period{3};
 
 } // namespace
 
@@ -36,7 +38,7 @@
 
 bool entry_node::await_confirmation(std::function<void()> then)
 {
-    if (confirmation_waiters_.size() >= most_waiters)
+    if (confirmation_waiters_.size() >= max_waiters)
         return false;
     confirmation_waiters_.push_back(std::move(then));
     return true;
@@ -44,7 +46,8 @@
 
 void entry_node::configuration_confirmed()
 {
-    // Calls that have to wait on are added anew.
+    // Calls that must keep waiting register themselves again, hence the
+    // exchange.
     for (auto const& then : std::exchange(confirmation_waiters_, {}))
         then();
 }
@@ -67,10 +70,10 @@
             known.limit = one->limit;
         return known;
     };
-    // A node that just started can't tell a partition from nodes that start
-    // with it.
+    // A node that has just started cannot tell a network partition from nodes
+    // that are still starting. It assumes that all are reachable.
     to.reach = [this]
-    { return clock_() - started_ < starting_for ? 1.0 : loads_.reach(); };
+    { return clock_() - started_ < startup_period ? 1.0 : loads_.reach(); };
     to.on_change = [this](std::string const& node, bool answers)
     {
         log_.write(
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -18,12 +18,12 @@
 constexpr std::string_view variable_prefix = "WALNUTMILL_";
 constexpr char const* file_variable = "WALNUTMILL_NODE_FILE";
 constexpr double ms_per_s = 1'000;
-/// Below what a lost packet takes to be sent again, sound calls would count
-/// as stalled.
-constexpr std::uint32_t shortest_stall_ms = 200;
+/// A shorter timeout than the retransmission of a lost packet takes would make
+/// healthy calls count as stalled.
+constexpr std::uint32_t min_stall_timeout_ms = 200;
 
-/// Values as read, before they are checked.
-struct raw_settings
+/// Settings as parsed, before validation and conversion of units.
+struct parsed_settings
 {
     entry_settings to;
     double stop_grace_s = 8;
@@ -32,14 +32,14 @@
     std::uint32_t apply_ms = 2'000;
     std::uint32_t drain_ms = 2'000;
     std::uint32_t revoke_within_ms = 0;
-    double quota_seconds = 0;
+    double quota_window_s = 0;
     std::uint32_t stall_least_ms =
         static_cast<std::uint32_t>(stall_options().least.count());
 };
 
-po::options_description describe(raw_settings& raw)
+po::options_description describe_options(parsed_settings& parsed_values)
 {
-    auto& to = raw.to;
+    auto& to = parsed_values.to;
     po::options_description all("Settings of an entry node");
     auto add = all.add_options();
     add("node", po::value(&to.node), "name of this node");
@@ -52,28 +52,28 @@
     add("listen-metrics", po::value(&to.listen_metrics),
         "IP:PORT of the metrics (empty: none)");
     add("store", po::value(&to.store), "IP:PORT of the platform's store");
-    add("cpu-share", po::value(&raw.cpu_share),
+    add("cpu-share", po::value(&parsed_values.cpu_share),
         "share of each core that the process may use, above 0");
-    add("cores", po::value(&raw.cores),
+    add("cores", po::value(&parsed_values.cores),
         "cores of the VM; with cpu-share, duties for other nodes go by it");
     add("memory-mb", po::value(&to.memory_mb),
         "memory that the process may use");
-    add("stop-grace-s", po::value(&raw.stop_grace_s),
+    add("stop-grace-s", po::value(&parsed_values.stop_grace_s),
         "seconds from SIGTERM until the process is killed");
-    add("apply-within-ms", po::value(&raw.apply_ms),
+    add("apply-within-ms", po::value(&parsed_values.apply_ms),
         "within which a configuration is in force");
-    add("drain-within-ms", po::value(&raw.drain_ms),
+    add("drain-within-ms", po::value(&parsed_values.drain_ms),
         "within which a leaving engine gets no new work");
-    add("revoke-within-ms", po::value(&raw.revoke_within_ms),
+    add("revoke-within-ms", po::value(&parsed_values.revoke_within_ms),
         "within which a key that was taken away is served nowhere (0: no "
         "bound)");
-    add("quota-window-s", po::value(&raw.quota_seconds),
+    add("quota-window-s", po::value(&parsed_values.quota_window_s),
         "window over which workspaces' limits are judged (0: not judged)");
     add("quota-over", po::value(&to.quota.over),
         "part of a limit by which all nodes together may exceed it");
     add("quota-slack", po::value(&to.quota.slack),
         "requests by which they may exceed it besides");
-    add("stall-least-ms", po::value(&raw.stall_least_ms),
+    add("stall-least-ms", po::value(&parsed_values.stall_least_ms),
         "silence of an engine that a call always bears");
     add("settings-file", po::value(&to.file),
         "file of NAME = VALUE lines, read again on SIGHUP");
@@ -95,7 +95,8 @@
     return variable;
 }
 
-/// \return the setting of a variable; empty for variables of others.
+/// \return the setting that an environment variable holds; empty for unrelated
+/// variables.
 std::string
 setting_of(po::options_description const& all, std::string const& variable)
 {
@@ -124,16 +125,16 @@
 }
 
 void check_address(
-    std::string const& name, std::string const& value, bool needed,
+    std::string const& name, std::string const& value, bool required,
     findings& problems)
 {
-    if (value.empty() ? needed : !endpoint_of(value))
+    if (value.empty() ? required : !endpoint_of(value))
         problems.add(name, "'" + value + "' is not IP:PORT");
 }
 
-void check(raw_settings const& raw, findings& problems)
+void check_settings(parsed_settings const& parsed_values, findings& problems)
 {
-    auto const& to = raw.to;
+    auto const& to = parsed_values.to;
     if (to.node.empty())
         problems.add("node", "is missing");
     if (to.domain.empty())
@@ -143,22 +144,22 @@
     check_address("listen-peers", to.listen_peers, true, problems);
     check_address("listen-metrics", to.listen_metrics, false, problems);
     check_address("store", to.store, true, problems);
-    if (!(raw.cpu_share > 0))
+    if (!(parsed_values.cpu_share > 0))
         problems.add("cpu-share", "must be above 0");
-    if (!(raw.cores > 0))
+    if (!(parsed_values.cores > 0))
         problems.add("cores", "must be above 0");
-    if (raw.stop_grace_s <= 1)
+    if (parsed_values.stop_grace_s <= 1)
         problems.add("stop-grace-s", "must be above 1");
-    if (raw.stall_least_ms < shortest_stall_ms)
+    if (parsed_values.stall_least_ms < min_stall_timeout_ms)
         problems.add("stall-least-ms", "must be 200 at least");
-    if (!(raw.quota_seconds >= 0))
+    if (!(parsed_values.quota_window_s >= 0))
         problems.add("quota-window-s", "must not be below 0");
     if (!(to.quota.over >= 0))
         problems.add("quota-over", "must not be below 0");
     if (!(to.quota.slack >= 0))
         problems.add("quota-slack", "must not be below 0");
-    constexpr std::uint64_t least_memory_mb = 40;
-    if (to.memory_mb < least_memory_mb)
+    constexpr std::uint64_t min_memory_mb = 40;
+    if (to.memory_mb < min_memory_mb)
         problems.add("memory-mb", "must be 40 at least");
 }
 
@@ -180,8 +181,8 @@
 
 std::vector<entry_setting> list_entry_settings()
 {
-    raw_settings raw;
-    auto const all = describe(raw);
+    parsed_settings parsed_values;
+    auto const all = describe_options(parsed_values);
     std::vector<entry_setting> list;
     for (auto const& one : all.options())
     {
@@ -196,8 +197,8 @@
     std::vector<std::string> const& arguments,
     std::vector<std::string> const& environment, findings& problems)
 {
-    raw_settings raw;
-    auto const all = describe(raw);
+    parsed_settings parsed_values;
+    auto const all = describe_options(parsed_values);
     po::variables_map values;
     try
     {
@@ -215,19 +216,24 @@
     catch (po::error const& error)
     {
         problems.add("settings", error.what());
-        return raw.to;
+        return parsed_values.to;
     }
-    check(raw, problems);
-    raw.to.strength = raw.cpu_share * raw.cores;
-    raw.to.stop_grace = std::chrono::milliseconds(
-        static_cast<std::int64_t>(raw.stop_grace_s * ms_per_s));
-    raw.to.apply_within = std::chrono::milliseconds(raw.apply_ms);
-    raw.to.revoke_within = std::chrono::milliseconds(raw.revoke_within_ms);
-    raw.to.quota.window = std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(raw.quota_seconds));
-    raw.to.stall_least = std::chrono::milliseconds(raw.stall_least_ms);
-    raw.to.drain_within = std::chrono::milliseconds(raw.drain_ms);
-    return raw.to;
+    check_settings(parsed_values, problems);
+    parsed_values.to.capacity_weight =
+        parsed_values.cpu_share * parsed_values.cores;
+    parsed_values.to.stop_grace = std::chrono::milliseconds(
+        static_cast<std::int64_t>(parsed_values.stop_grace_s * ms_per_s));
+    parsed_values.to.apply_within =
+        std::chrono::milliseconds(parsed_values.apply_ms);
+    parsed_values.to.revoke_within =
+        std::chrono::milliseconds(parsed_values.revoke_within_ms);
+    parsed_values.to.quota.window = std::chrono::duration_cast<duration>(
+        std::chrono::duration<double>(parsed_values.quota_window_s));
+    parsed_values.to.stall_least =
+        std::chrono::milliseconds(parsed_values.stall_least_ms);
+    parsed_values.to.drain_within =
+        std::chrono::milliseconds(parsed_values.drain_ms);
+    return parsed_values.to;
 }
 
 } // namespace walnutmill
--- a/src/entry/entry_settings.hpp
+++ b/src/entry/entry_settings.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_SRC_ENTRY_ENTRY_SETTINGS_HPP
 
 /// \file
-/// Settings of an entry node: flags, environment, and a file of the same
-/// names that may change while the node runs.
+/// Settings of an entry node, read from flags, the environment, and a settings
+/// file with the same names. The file is read again on SIGHUP.
 
 #include <walnutmill/finding.hpp>
 #include <walnutmill/quota.hpp>
@@ -23,7 +23,7 @@
     std::string domain;
     /// IP:PORT on which callers are served.
     std::string listen_callers;
-    /// IP:PORT that tells whether the node takes callers.
+    /// IP:PORT of the readiness endpoint.
     std::string listen_ready;
     /// IP:PORT for other nodes.
     std::string listen_peers;
@@ -31,29 +31,31 @@
     std::string listen_metrics;
     /// IP:PORT of the platform's store.
     std::string store;
-    /// Processor share of this VM, in cores.
-    double strength = 1;
-    /// Bytes of memory that the process may use.
+    /// Capacity weight: processor share of this VM, in cores.
+    double capacity_weight = 1;
+    /// Memory that the process may use, in MB.
     std::uint64_t memory_mb = 120;
-    /// From the signal to stop until the process is killed.
+    /// Time from SIGTERM until the process is killed.
     std::chrono::milliseconds stop_grace{8'000};
-    /// Within which a new configuration has to be in force.
+    /// Time within which a new configuration must be in force.
     std::chrono::milliseconds apply_within{2'000};
-    /// Within which an engine that leaves has to be left alone.
+    /// Time within which a draining engine must get no new work.
     std::chrono::milliseconds drain_within{2'000};
-    /// Within which no node serves a key that was taken away; zero: no bound.
+    /// Time within which all nodes must reject a revoked key; zero: no bound.
     std::chrono::milliseconds revoke_within{0};
-    /// By how much nodes may exceed a workspace's limit together.
+    /// How far all nodes together may exceed the limit of a workspace.
     quota_bounds quota;
-    /// Silence that an engine may always keep during a call.
+    /// Minimum timeout for an engine that sends nothing during a call.
     std::chrono::milliseconds stall_least = stall_options().least;
+    /// Path of the settings file; empty: none.
     std::string file;
 };
 
-/// One setting, for help and for the settings page.
+/// Description of one setting, for help and the configuration page.
 struct entry_setting
 {
     std::string name;
+    /// Environment variable.
     std::string variable;
     std::string help;
 };
@@ -61,9 +63,10 @@
 /// \return all settings of an entry node.
 std::vector<entry_setting> list_entry_settings();
 
-/// Reads settings: flags before environment before the file before built-in
-/// values.
-/// \param environment entries NAME=VALUE
+/// Reads and checks the settings. Flags take precedence over the environment,
+/// the environment over the settings file, and the file over defaults.
+/// \param environment entries of the form NAME=VALUE
+/// \param problems receives one finding for each invalid setting
 entry_settings read_entry_settings(
     std::vector<std::string> const& arguments,
     std::vector<std::string> const& environment, findings& problems);
--- a/src/entry/line_log.cpp
+++ b/src/entry/line_log.cpp
@@ -12,8 +12,9 @@
 namespace
 {
 
-/// A pipe that is ready takes at least this much without blocking (POSIX).
-constexpr std::size_t pipe_atom = 4'096;
+/// PIPE_BUF on Linux, in bytes: a writable pipe accepts a write of this size
+/// without blocking (POSIX).
+constexpr std::size_t atomic_pipe_write_bytes = 4'096;
 
 std::int64_t utc_ms()
 {
@@ -25,77 +26,80 @@
 } // namespace
 
 line_log::line_log(
-    std::string node, clock_fn clock, sink_fn sink, line_budget budget)
+    std::string node, clock_fn clock, sink_fn sink, line_budget limits)
     : node_(std::move(node)), clock_(std::move(clock)), sink_(std::move(sink)),
-      budget_(budget)
+      limits_(limits)
 {
 }
 
-bool line_log::within_budget(line_weight weight)
+bool line_log::within_rate_limit(line_weight priority)
 {
     auto const now = clock_();
-    if (now - second_began_ >= std::chrono::seconds(1))
+    if (now - second_start_ >= std::chrono::seconds(1))
     {
-        second_began_ = now;
-        routine_now_ = 0;
-        important_now_ = 0;
+        second_start_ = now;
+        routine_this_second_ = 0;
+        important_this_second_ = 0;
     }
-    auto& used = weight == line_weight::routine ? routine_now_ : important_now_;
-    auto const most = weight == line_weight::routine ? budget_.routine_per_s
-                                                     : budget_.important_per_s;
-    return used++ < most;
+    auto& used = priority == line_weight::routine ? routine_this_second_
+                                                  : important_this_second_;
+    auto const limit = priority == line_weight::routine
+                           ? limits_.routine_per_s
+                           : limits_.important_per_s;
+    return used++ < limit;
 }
 
 void line_log::write(
-    line_weight weight, std::string_view event, nlohmann::json const& fields)
+    line_weight priority, std::string_view event, nlohmann::json const& fields)
 {
-    // The last quarter of the buffer is for lines that tell of trouble.
-    auto const room = weight == line_weight::routine
-                          ? budget_.buffer_bytes / 4 * 3
-                          : budget_.buffer_bytes;
-    if (!within_budget(weight) || buffer_.size() >= room)
+    // The last quarter of the buffer is reserved for important lines.
+    auto const capacity = priority == line_weight::routine
+                              ? limits_.buffer_bytes / 4 * 3
+                              : limits_.buffer_bytes;
+    if (!within_rate_limit(priority) || buffer_.size() >= capacity)
     {
         ++dropped_;
         return;
     }
-    say_dropped();
+    report_dropped();
     nlohmann::ordered_json line;
     line["time_ms"] = utc_ms();
     line["node"] = node_;
     line["event"] = event;
     for (auto const& [key, value] : fields.items())
         line[key] = value;
-    // Bytes that are not UTF-8 come from callers; a line must stay readable.
+    // Fields may hold bytes from callers that are not UTF-8. They are replaced,
+    // so that the line stays valid JSON.
     buffer_ += line.dump(
         -1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
     buffer_ += '\n';
 }
 
-void line_log::say_dropped()
+void line_log::report_dropped()
 {
-    if (dropped_ == dropped_said_)
+    if (dropped_ == dropped_reported_)
         return;
     nlohmann::ordered_json line;
     line["time_ms"] = utc_ms();
     line["node"] = node_;
     line["event"] = "log.dropped";
-    line["lines"] = dropped_ - dropped_said_;
-    dropped_said_ = dropped_;
+    line["lines"] = dropped_ - dropped_reported_;
+    dropped_reported_ = dropped_;
     buffer_ += line.dump();
     buffer_ += '\n';
 }
 
 void line_log::flush()
 {
-    std::size_t taken = 0;
-    while (taken < buffer_.size())
+    std::size_t flushed = 0;
+    while (flushed < buffer_.size())
     {
-        auto const some = sink_(std::string_view(buffer_).substr(taken));
-        if (some == 0)
+        auto const accepted = sink_(std::string_view(buffer_).substr(flushed));
+        if (accepted == 0)
             break;
-        taken += some;
+        flushed += accepted;
     }
-    buffer_.erase(0, taken);
+    buffer_.erase(0, flushed);
 }
 
 line_log::sink_fn descriptor_sink(int descriptor)
@@ -106,9 +110,10 @@
         if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
             return 0;
         auto const written = ::write(
-            descriptor, bytes.data(), std::min(bytes.size(), pipe_atom));
-        // A closed reader must not end the process: lines then pile up, are
-        // dropped and counted.
+            descriptor, bytes.data(),
+            std::min(bytes.size(), atomic_pipe_write_bytes));
+        // A closed reader must not terminate the process. Lines then fill the
+        // buffer, and further ones are dropped and counted.
         return written > 0 ? static_cast<std::size_t>(written) : 0;
     };
 }
--- a/src/entry/line_log.hpp
+++ b/src/entry/line_log.hpp
@@ -2,9 +2,13 @@
 #define WALNUTMILL_SRC_ENTRY_LINE_LOG_HPP
 
 /// \file
-/// JSON lines on standard output that never block: lines wait in a bounded
-/// buffer, and what does not fit, or comes faster than the budget, is counted
-/// and said.
+/// Non-blocking log of JSON lines on standard output. Lines wait in a bounded
+/// buffer. Lines that do not fit or exceed the rate limit are dropped, counted
+/// and reported by a log.dropped line.
+///
+/// Load: a slow or stuck log reader, and bursts of events. Without the bounds,
+/// a write to a full pipe would block all calls of the node, or the buffer
+/// would grow without limit.
 
 #include <walnutmill/clock.hpp>
 
@@ -20,60 +24,65 @@
 namespace walnutmill
 {
 
-/// Lines that tell of trouble are kept before lines that tell of success.
+/// Important lines report failures and state changes. They have buffer space
+/// and a rate limit of their own, so that routine lines cannot displace them.
 enum class line_weight
 {
     routine,
     important
 };
 
+/// Bounds on buffer size and line rate.
 struct line_budget
 {
-    /// Bytes waiting for a reader; a few seconds of a busy node's lines.
+    /// Buffer size in bytes: a few seconds of the lines of a busy node.
     std::size_t buffer_bytes = 262'144;
-    /// Routine lines a second: twice what the busiest node of today's sites
-    /// writes (17 turns and 40 tool calls a second).
+    /// Routine lines per second: twice the load of the busiest node, which
+    /// serves 17 turns and 40 tool calls per second.
     std::uint32_t routine_per_s = 120;
-    /// Important lines a second.
+    /// Important lines per second.
     std::uint32_t important_per_s = 400;
 };
 
 class line_log
 {
 public:
-    /// Takes bytes of the buffer; \return how many it took, without waiting.
+    /// Writes bytes without blocking. \return the number of bytes written.
     using sink_fn = std::function<std::size_t(std::string_view)>;
 
     line_log(
-        std::string node, clock_fn clock, sink_fn sink, line_budget budget);
+        std::string node, clock_fn clock, sink_fn sink, line_budget limits);
 
-    /// Adds a line with time, node, the event's name and the fields.
+    /// Adds a line with time, node, event name and fields. Drops and counts it
+    /// if a bound is exceeded.
     void write(
-        line_weight weight, std::string_view event,
+        line_weight priority, std::string_view event,
         nlohmann::json const& fields);
 
-    /// Hands what waits to the sink; call it a few times a second.
+    /// Passes buffered lines to the sink; to be called a few times per second.
     void flush();
 
+    /// \return the number of lines dropped so far.
     std::uint64_t dropped() const { return dropped_; }
 
 private:
-    bool within_budget(line_weight weight);
-    void say_dropped();
+    bool within_rate_limit(line_weight priority);
+    void report_dropped();
 
     std::string node_;
     clock_fn clock_;
     sink_fn sink_;
-    line_budget budget_;
+    line_budget limits_;
     std::string buffer_;
-    time_point second_began_{};
-    std::uint32_t routine_now_ = 0;
-    std::uint32_t important_now_ = 0;
+    time_point second_start_{};
+    std::uint32_t routine_this_second_ = 0;
+    std::uint32_t important_this_second_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t dropped_said_ = 0;
+    std::uint64_t dropped_reported_ = 0;
 };
 
-/// \return a sink that writes to a descriptor only what it takes at once.
+/// \return a sink that writes to a descriptor as much as it accepts without
+/// blocking.
 line_log::sink_fn descriptor_sink(int descriptor);
 
 } // namespace walnutmill
--- a/src/entry/target_list.hpp
+++ b/src/entry/target_list.hpp
@@ -2,7 +2,7 @@
 #define WALNUTMILL_SRC_ENTRY_TARGET_LIST_HPP
 
 /// \file
-/// Short lists of targets.
+/// Search in short lists of targets.
 
 #include <walnutmill/ids.hpp>
 
@@ -12,6 +12,7 @@
 namespace walnutmill
 {
 
+/// \return true if the list holds the target. Linear search.
 inline bool listed(std::vector<target_name> const& list, target_name const& one)
 {
     return std::find(list.begin(), list.end(), one) != list.end();
--- a/src/entry/workspace_directory.cpp
+++ b/src/entry/workspace_directory.cpp
@@ -10,11 +10,12 @@
 namespace
 {
 
-/// Bytes of the longest key that is looked up.
-constexpr std::size_t longest_key = 256;
+/// Maximum length of a key that is looked up, in bytes.
+constexpr std::size_t max_key_bytes = 256;
 
-/// Bytes of a name in an id, which has to fit the key of a row.
-constexpr std::size_t longest_scope = 48;
+/// Maximum length of the workspace name in a scoped id, in bytes. The id must
+/// fit into the key of a row; longer names are replaced by a digest.
+constexpr std::size_t max_scope_bytes = 48;
 
 bool is_digit(char one)
 {
@@ -25,7 +26,7 @@
 
 key_digest digest_of_key(std::string_view key)
 {
-    if (key.empty() || key.size() > longest_key)
+    if (key.empty() || key.size() > max_key_bytes)
         return {};
     return {sha256_hex(key)};
 }
@@ -61,11 +62,12 @@
     return found == by_name_.end() ? nullptr : &workspaces_[found->second];
 }
 
-// The length in front keeps names and ids that hold a colon apart.
+// The length prefix keeps the result unambiguous if names or ids contain a
+// colon.
 std::string scoped_id(workspace_name const& owner, std::string const& id)
 {
-    auto const name = owner.str().size() > longest_scope
-                          ? sha256_hex(owner.str()).substr(0, longest_scope)
+    auto const name = owner.str().size() > max_scope_bytes
+                          ? sha256_hex(owner.str()).substr(0, max_scope_bytes)
                           : owner.str();
     return std::to_string(name.size()) + ":" + name + ":" + id;
 }
--- a/test/caller_identity-test.cpp
+++ b/test/caller_identity-test.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    caller_identity_fixture, "identity: a held key names its workspace")
+    caller_identity_fixture, "identity: a known key identifies its workspace")
 {
     one.key = digest_of_key("k1");
     auto const got = identify(table, closed, one, seconds(1), revoke_within);
@@ -60,7 +60,7 @@
 
 TEST_CASE_METHOD(
     caller_identity_fixture,
-    "identity: an old configuration decides on no key, held or not")
+    "identity: a stale configuration decides on no key, known or not")
 {
     one.key = digest_of_key("k1");
     CHECK(answer(closed, milliseconds(4'700)) == identity_answer::identified);
@@ -72,7 +72,8 @@
 }
 
 TEST_CASE_METHOD(
-    caller_identity_fixture, "identity: without a bound any age will do")
+    caller_identity_fixture,
+    "identity: without a bound any staleness is accepted")
 {
     revoke_within = seconds(0);
     one.key = digest_of_key("k1");
@@ -81,7 +82,7 @@
 
 TEST_CASE_METHOD(
     caller_identity_fixture,
-    "identity: a configuration without workspaces asks for no key")
+    "identity: a configuration without workspaces requires no key")
 {
     table.workspaces.reset();
     CHECK(answer(closed) == identity_answer::anonymous);
--- a/test/entry_settings-test.cpp
+++ b/test/entry_settings-test.cpp
@@ -25,7 +25,7 @@
         "--store=10.0.0.9:1"};
     findings problems;
 
-    bool complains_of(std::string const& place) const
+    bool has_finding(std::string const& place) const
     {
         auto const& items = problems.items();
         return std::any_of(
@@ -36,7 +36,8 @@
 
 } // namespace
 
-TEST_CASE_METHOD(entry_settings_fixture, "entry settings: a sound set is taken")
+TEST_CASE_METHOD(
+    entry_settings_fixture, "entry settings: valid settings are accepted")
 {
     auto const got = read_entry_settings(flags, {}, problems);
     CHECK(problems.empty());
@@ -45,19 +46,20 @@
 }
 
 TEST_CASE_METHOD(
-    entry_settings_fixture, "entry settings: all that is wrong is told at once")
+    entry_settings_fixture,
+    "entry settings: all invalid settings are reported together")
 {
     flags = {"--listen-callers=nonsense", "--stop-grace-s=0", "--memory-mb=1"};
     read_entry_settings(flags, {}, problems);
     for (auto const* place :
          {"node", "domain", "listen-callers", "listen-ready", "listen-peers",
           "store", "stop-grace-s", "memory-mb"})
-        CHECK(complains_of(place));
+        CHECK(has_finding(place));
 }
 
 TEST_CASE_METHOD(
     entry_settings_fixture,
-    "entry settings: flags go before environment, that before the file")
+    "entry settings: flags override the environment, which overrides the file")
 {
     std::string const path = std::string("/tmp/walnutmill-settings-") +
                              std::to_string(::getpid()) + ".conf";
@@ -81,10 +83,10 @@
 {
     flags.push_back("--settings-file=/nonexistent");
     read_entry_settings(flags, {}, problems);
-    CHECK(complains_of("settings-file"));
+    CHECK(has_finding("settings-file"));
 }
 
-TEST_CASE("entry settings: the page names each setting")
+TEST_CASE("entry settings: the configuration page lists each setting")
 {
     std::ifstream page(
         std::string(WALNUTMILL_SOURCE_DIR) + "/docs/CONFIGURATION.md");
--- a/test/line_log-test.cpp
+++ b/test/line_log-test.cpp
@@ -16,24 +16,24 @@
 struct log_fixture
 {
     manual_clock clock;
-    std::string read;
+    std::string output;
     bool blocked = false;
-    line_budget budget{4'096, 10, 20};
+    line_budget limits{4'096, 10, 20};
     line_log log{
         "n1", clock.fn(),
         [this](std::string_view bytes) -> std::size_t
         {
             if (blocked)
                 return 0;
-            read.append(bytes);
+            output.append(bytes);
             return bytes.size();
         },
-        budget};
+        limits};
 
     std::vector<json> lines() const
     {
         std::vector<json> all;
-        std::istringstream in(read);
+        std::istringstream in(output);
         for (std::string line; std::getline(in, line);)
             all.push_back(json::parse(line));
         return all;
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(log_fixture, "log: a line bears node, event and fields")
+TEST_CASE_METHOD(log_fixture, "log: a line contains node, event and fields")
 {
     log.write(line_weight::routine, "call.ended", {{"request", "r1"}});
     log.flush();
@@ -53,7 +53,8 @@
 }
 
 TEST_CASE_METHOD(
-    log_fixture, "log: lines over the budget are dropped, counted and said")
+    log_fixture,
+    "log: lines over the rate limit are dropped, counted and reported")
 {
     for (int i = 0; i < 30; ++i)
         log.write(line_weight::routine, "call.ended", {{"i", i}});
@@ -68,7 +69,7 @@
 }
 
 TEST_CASE_METHOD(
-    log_fixture, "log: trouble still finds room when routine lines do not")
+    log_fixture, "log: important lines fit when routine lines are dropped")
 {
     blocked = true;
     for (int second = 0; second < 40; ++second)
@@ -83,7 +84,8 @@
     CHECK(log.dropped() == dropped);
 }
 
-TEST_CASE_METHOD(log_fixture, "log: bytes that are no text don't spoil a line")
+TEST_CASE_METHOD(
+    log_fixture, "log: bytes that are not UTF-8 do not break a line")
 {
     log.write(
         line_weight::important, "call.ended",
@@ -92,14 +94,15 @@
     CHECK(lines().size() == 1);
 }
 
-TEST_CASE("log: a pipe that nobody reads takes what fits and no more")
+TEST_CASE("log: a pipe that nobody reads does not block the sink")
 {
     int ends[2] = {-1, -1};
     REQUIRE(::pipe(ends) == 0);
     auto const sink = descriptor_sink(ends[1]);
     std::string const line(1'000, 'x');
     std::size_t taken = 0;
-    // Far more than a pipe holds: a blocking write would never return.
+    // Far more than the capacity of a pipe: a blocking write would never
+    // return.
     for (int i = 0; i < 1'000; ++i)
         taken += sink(line);
     CHECK(taken < 200'000);
--- a/test/workspace_directory-test.cpp
+++ b/test/workspace_directory-test.cpp
@@ -26,7 +26,8 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    workspace_directory_fixture, "workspaces: a key finds its holder only")
+    workspace_directory_fixture,
+    "workspaces: a key finds only its own workspace")
 {
     REQUIRE(
         all.add(named("archive"), {digest_of_key("k1"), digest_of_key("k2")}));
@@ -39,7 +40,8 @@
 }
 
 TEST_CASE_METHOD(
-    workspace_directory_fixture, "workspaces: a key held twice is not added")
+    workspace_directory_fixture,
+    "workspaces: a key of another workspace is not added")
 {
     REQUIRE(all.add(named("archive"), {digest_of_key("k1")}));
     CHECK_FALSE(
@@ -51,20 +53,20 @@
 
 TEST_CASE_METHOD(
     workspace_directory_fixture,
-    "workspaces: an empty or endless key is nobody's")
+    "workspaces: an empty or overlong key belongs to no workspace")
 {
     REQUIRE(all.add(named("archive"), {digest_of_key("")}));
     CHECK(all.find(digest_of_key("")) == nullptr);
     CHECK(all.find(digest_of_key(std::string(100'000, 'k'))) == nullptr);
 }
 
-TEST_CASE("workspaces: a digest holds nothing of the key")
+TEST_CASE("workspaces: a digest contains nothing of the key")
 {
     CHECK(digest_of_key("secret-key").hex.find("secret") == std::string::npos);
     CHECK(digest_of_key("secret-key").hex.size() == 64);
 }
 
-TEST_CASE("workspaces: the same id of two workspaces makes two ids")
+TEST_CASE("workspaces: the same id in two workspaces gives two scoped ids")
 {
     workspace_name const x("x");
     workspace_name const long_name("x:1");
@@ -82,7 +84,7 @@
     CHECK(scoped_id(workspace_name(std::string(200, 'a')), "t").size() < 60);
 }
 
-TEST_CASE("denied keys: a denial ends, and the oldest yield to new ones")
+TEST_CASE("denied keys: entries expire, and the oldest are evicted first")
 {
     manual_clock clock;
     denied_keys denied(seconds(5), 2);
