--- a/test/configuration_watch-test.cpp
+++ b/test/configuration_watch-test.cpp
@@ -20,10 +20,11 @@
 } // namespace
 
 TEST_CASE(
-    "configuration watch, nothing newer and a late old one, stays where it is",
+    "configuration watch, no newer version or a late old one, keeps its "
+    "version",
     "[configuration_watch]")
 {
-    // What the platform answers, read after read; the last one repeats.
+    // The platform's answers in the order of reads; the last one repeats.
     std::vector<std::shared_ptr<configuration const>> const answers{
         nullptr, version(2), nullptr, version(1), version(3)};
     std::atomic<std::size_t> reads{0};
--- a/test/engine_fleet-test.cpp
+++ b/test/engine_fleet-test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Load: a burst of 1.6 times the usual programs for 5 s on 128 engines of 6
-/// slots, placed by 295 nodes that decide alone->
+/// Load: 1.6 times the usual arrival rate of programs for 5 s on 128 engines
+/// with 6 slots each. 295 nodes place the calls, and each decides on its own.
 
 #include "engine_fleet.hpp"
 
@@ -28,18 +28,18 @@
         answers.turns = 4;
         answers.new_tokens = 1'680;
         answers.pause = milliseconds(120);
-        answers.aim_factor = 1.5;
+        answers.time_limit_factor = 1.5;
         program_kind orders;
         orders.rank = 0;
         orders.per_s = 56.5;
         orders.turns = 12;
         orders.new_tokens = 840;
         orders.pause = milliseconds(220);
-        orders.aim_factor = 1.4;
+        orders.time_limit_factor = 1.4;
         options.kinds = {answers, orders};
     }
 
-    std::unique_ptr<engine_fleet> play() const
+    std::unique_ptr<engine_fleet> run_burst() const
     {
         auto fleet = std::make_unique<engine_fleet>(options);
         fleet->run_for(seconds(3));
@@ -51,7 +51,7 @@
 
     static int missed(kind_result const& one)
     {
-        return one.begun - one.in_aim - one.refused_then_in_aim;
+        return one.started - one.in_time - one.refused_then_in_time;
     }
 };
 
@@ -59,28 +59,31 @@
 
 TEST_CASE_METHOD(
     burst_fixture,
-    "engine fleet: choices told at once keep programs in their aim")
+    "engine fleet: choices reported at once keep programs in time")
 {
-    auto const told = play();
+    auto const reported = run_burst();
     options.reports_choices = false;
     options.report_interval = milliseconds(200);
-    auto const by_interval = play();
+    auto const by_interval = run_burst();
     for (std::size_t kind = 0; kind < options.kinds.size(); ++kind)
     {
-        auto const& one = told->results()[kind];
+        auto const& one = reported->results()[kind];
         INFO(kind);
-        CHECK(one.begun > 0);
-        CHECK(missed(one) * 10 <= one.begun);
+        CHECK(one.started > 0);
+        CHECK(missed(one) * 10 <= one.started);
     }
-    CHECK(missed(told->results()[0]) * 2 <= missed(by_interval->results()[0]));
-    CHECK(told->tokens_read < by_interval->tokens_read);
+    CHECK(
+        missed(reported->results()[0]) * 2 <=
+        missed(by_interval->results()[0]));
+    CHECK(reported->tokens_read < by_interval->tokens_read);
 }
 
 TEST_CASE_METHOD(
-    burst_fixture, "engine fleet: told demand keeps shared prompts in place")
+    burst_fixture,
+    "engine fleet: reported demand reduces reads of shared prompts")
 {
-    auto const told = play();
-    options.tells_demand = false;
-    auto const alone = play();
-    CHECK(told->shared_tokens_read < alone->shared_tokens_read);
+    auto const reported = run_burst();
+    options.shares_demand = false;
+    auto const alone = run_burst();
+    CHECK(reported->shared_tokens_read < alone->shared_tokens_read);
 }
--- a/test/engine_fleet.cpp
+++ b/test/engine_fleet.cpp
@@ -15,14 +15,14 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds tick_time{5};
-/// The modelled engines' figures.
+/// Speed of the modelled engines.
 constexpr double step_ms = 1.14;
 constexpr double step_ms_per_call = 0.0323;
 constexpr double read_per_ms = 336;
 constexpr double first_ms = 10;
-/// Time from a caller over its node to an engine and back.
-constexpr milliseconds way{8};
-constexpr milliseconds come_back{600};
+/// Time from a caller through its node to an engine and back.
+constexpr milliseconds round_trip_time{8};
+constexpr milliseconds retry_after{600};
 
 double ms_of(duration time)
 {
@@ -56,11 +56,11 @@
     }
     for (int i = 0; i < options_.nodes; ++i)
     {
-        boards_.push_back(std::make_unique<engine_board>(
+        balancers_.push_back(std::make_unique<engine_board>(
             zone_name(domain_of(i % options_.domains)), clock_.fn(),
             seeded_random(options_.seed * 1'000 + static_cast<unsigned>(i)),
-            options_.board));
-        boards_.back()->set_engines(entries);
+            options_.balancer));
+        balancers_.back()->set_engines(entries);
         report_at_.push_back(
             clock_.now() +
             duration(static_cast<duration::rep>(
@@ -86,7 +86,7 @@
 {
     rate_ = 0;
     auto const end = clock_.now() + std::chrono::seconds(60);
-    while (under_way_ > 0 && clock_.now() < end)
+    while (active_programs_ > 0 && clock_.now() < end)
         tick();
 }
 
@@ -94,16 +94,16 @@
 {
     clock_.advance(tick_time);
     auto const now = clock_.now();
-    for (auto it = later_.begin(); it != later_.end();)
+    for (auto it = deferred_.begin(); it != deferred_.end();)
     {
         if (it->at > now)
         {
             ++it;
             continue;
         }
-        auto const what = std::move(it->what);
-        it = later_.erase(it);
-        what();
+        auto const action = std::move(it->action);
+        it = deferred_.erase(it);
+        action();
     }
     start_programs();
     for (auto& one : engines_)
@@ -114,7 +114,7 @@
         if (at <= now)
         {
             at += options_.report_interval;
-            report(node);
+            exchange_reports(node);
         }
     }
 }
@@ -130,17 +130,18 @@
             auto const it = std::make_shared<program>();
             it->kind = kind;
             it->domain = static_cast<int>(random_() * options_.domains);
-            // Some prompts are asked for several times as often as others.
+            // Some prompts are requested several times as often as others.
             it->shared = static_cast<int>(
                 std::pow(random_(), 1.5) * options_.shared_prompts);
-            it->line = "l" + std::to_string(++last_program_);
+            it->conversation = "l" + std::to_string(++last_program_);
             it->own_tokens = one.new_tokens;
-            it->began = clock_.now();
-            it->ideal_ms = one.turns * (turn_ms(one.new_tokens) + ms_of(way)) +
-                           (one.turns - 1) * ms_of(one.pause);
-            ++results_[kind].begun;
-            ++under_way_;
-            begin(it);
+            it->started_at = clock_.now();
+            it->ideal_ms =
+                one.turns * (turn_ms(one.new_tokens) + ms_of(round_trip_time)) +
+                (one.turns - 1) * ms_of(one.pause);
+            ++results_[kind].started;
+            ++active_programs_;
+            admit(it);
         }
     }
 }
@@ -154,18 +155,19 @@
         in_domain * options_.domains + one.domain, options_.nodes - 1);
 }
 
-void engine_fleet::begin(program_ptr const& one)
+void engine_fleet::admit(program_ptr const& one)
 {
     auto const& kind = options_.kinds[one->kind];
     auto const at = static_cast<std::size_t>(node_of(*one));
     auto& ranks = ranks_[at];
     ranks.seen(kind.rank, clock_.now());
     auto const refused =
-        options_.gate &&
+        options_.use_admission_control &&
         random_() < refusal_chance(
-                        boards_[at]->pressure(service_name("llm")), kind.rank,
+                        balancers_[at]->pressure(service_name("llm")),
+                        kind.rank,
                         ranks.has_less_urgent(kind.rank, clock_.now()),
-                        options_.gate_with);
+                        options_.admission);
     if (!refused)
     {
         send_turn(one);
@@ -174,17 +176,17 @@
     if (one->refused)
     {
         ++results_[one->kind].refused;
-        --under_way_;
+        --active_programs_;
         return;
     }
     one->refused = true;
     auto const wait = milliseconds(
-        come_back.count() + static_cast<std::int64_t>(random_() * 250));
-    later_.push_back(
+        retry_after.count() + static_cast<std::int64_t>(random_() * 250));
+    deferred_.push_back(
         {clock_.now() + wait, [this, one]
          {
-             one->began = clock_.now();
-             begin(one);
+             one->started_at = clock_.now();
+             admit(one);
          }});
 }
 
@@ -192,15 +194,15 @@
 {
     auto const& kind = options_.kinds[one->kind];
     auto const node = node_of(*one);
-    auto& board = *boards_[static_cast<std::size_t>(node)];
+    auto& balancer = *balancers_[static_cast<std::size_t>(node)];
     one->prompt = {
         {"s" + std::to_string(one->kind) + "." + std::to_string(one->shared),
          options_.shared_tokens},
-        {one->line, one->own_tokens}};
-    for (auto const& place : one->places)
-        board.learn(place);
+        {one->conversation, one->own_tokens}};
+    for (auto const& location : one->locations)
+        balancer.learn(location);
     auto const call = std::make_shared<running_call>();
-    call->of = one;
+    call->owner = one;
     call->node = node;
     call->need.service = service_name("llm");
     call->need.prompt_tokens = options_.shared_tokens + one->own_tokens;
@@ -209,15 +211,15 @@
     call->need.cache_tokens = options_.cache_tokens;
     call->rank = kind.rank;
     if (options_.reports_choices)
-        report(node);
-    auto const at = board.choose(call->need);
+        exchange_reports(node);
+    auto const at = balancer.choose(call->need);
     if (!at)
         return;
     call->engine = at->ref();
     call->sent_at = clock_.now();
-    board.sent(at->ref(), call->need);
+    balancer.sent(at->ref(), call->need);
     if (options_.reports_choices)
-        tell(node);
+        send_report(node);
     ++turns;
     arrive(
         static_cast<std::size_t>(std::stoi(at->engine.str().substr(1))), call);
@@ -226,8 +228,8 @@
 void engine_fleet::arrive(std::size_t engine, call_ptr const& one)
 {
     auto& to = engines_[engine];
-    sent_to_full += full(to) ? 1 : 0;
-    if (!full(to) || preempt(to, one->rank))
+    sent_to_full += is_full(to) ? 1 : 0;
+    if (!is_full(to) || preempt(to, one->rank))
     {
         start(to, one);
         return;
@@ -238,7 +240,7 @@
     to.queue.insert(behind, one);
 }
 
-bool engine_fleet::preempt(engine_state_of& engine, std::uint32_t rank)
+bool engine_fleet::preempt(simulated_engine& engine, std::uint32_t rank)
 {
     auto victim = engine.running.end();
     for (auto it = engine.running.begin(); it != engine.running.end(); ++it)
@@ -257,29 +259,30 @@
 }
 
 std::uint32_t engine_fleet::read_prompt(
-    engine_state_of& engine, std::vector<prompt_part> const& parts)
+    simulated_engine& engine, std::vector<prompt_part> const& parts)
 {
     std::uint32_t unread = 0;
-    bool before_cached = true;
+    bool prefix_cached = true;
     for (auto const& part : parts)
     {
         auto const found = std::find_if(
             engine.cache.begin(), engine.cache.end(),
             [&part](prompt_part const& one) { return one.id == part.id; });
-        auto const has = before_cached && found != engine.cache.end()
-                             ? std::min(found->tokens, part.tokens)
-                             : 0;
-        before_cached = has == part.tokens;
-        unread += part.tokens - has;
+        auto const cached_tokens = prefix_cached && found != engine.cache.end()
+                                       ? std::min(found->tokens, part.tokens)
+                                       : 0;
+        prefix_cached = cached_tokens == part.tokens;
+        unread += part.tokens - cached_tokens;
         if (&part == &parts.front())
-            shared_tokens_read += part.tokens - has;
-        keep(engine, part);
+            shared_tokens_read += part.tokens - cached_tokens;
+        cache_part(engine, part);
     }
     tokens_read += unread;
     return unread;
 }
 
-void engine_fleet::keep(engine_state_of& engine, prompt_part const& part) const
+void engine_fleet::cache_part(
+    simulated_engine& engine, prompt_part const& part) const
 {
     auto const found = std::find_if(
         engine.cache.begin(), engine.cache.end(),
@@ -298,19 +301,19 @@
     }
 }
 
-void engine_fleet::start(engine_state_of& engine, call_ptr const& one)
+void engine_fleet::start(simulated_engine& engine, call_ptr const& one)
 {
-    auto const unread = read_prompt(engine, one->of->prompt);
+    auto const unread = read_prompt(engine, one->owner->prompt);
     one->reading_ms = first_ms + unread / read_per_ms;
     if (one->tokens_left <= 0)
         one->tokens_left = options_.output_tokens;
-    // The others stand still while it is read.
+    // The other calls make no progress while the prompt is read.
     for (auto const& other : engine.running)
         other->reading_ms += unread / read_per_ms;
     engine.running.push_back(one);
 }
 
-void engine_fleet::advance(engine_state_of& engine)
+void engine_fleet::advance(simulated_engine& engine)
 {
     auto const batch = static_cast<double>(engine.running.size());
     auto const step = step_ms + step_ms_per_call * batch;
@@ -327,12 +330,12 @@
     {
         engine.running.erase(
             std::find(engine.running.begin(), engine.running.end(), one));
-        keep(
-            engine,
-            {one->of->line, one->of->own_tokens + options_.output_tokens});
-        end(one);
+        cache_part(
+            engine, {one->owner->conversation,
+                     one->owner->own_tokens + options_.output_tokens});
+        finish_call(one);
     }
-    while (!engine.queue.empty() && !full(engine))
+    while (!engine.queue.empty() && !is_full(engine))
     {
         auto const next = engine.queue.front();
         engine.queue.pop_front();
@@ -340,80 +343,83 @@
     }
 }
 
-void engine_fleet::end(call_ptr const& one)
+void engine_fleet::finish_call(call_ptr const& one)
 {
-    boards_[static_cast<std::size_t>(one->node)]->ended(
+    balancers_[static_cast<std::size_t>(one->node)]->ended(
         one->engine, one->need, engine_outcome::answered,
         clock_.now() - one->sent_at);
     if (options_.reports_choices)
-        tell(one->node);
-    auto const of = one->of;
-    auto const& kind = options_.kinds[of->kind];
-    of->places = {
-        {of->line, of->own_tokens + options_.output_tokens, one->engine}};
-    of->own_tokens += options_.output_tokens + kind.new_tokens;
-    if (++of->turn >= kind.turns)
+        send_report(one->node);
+    auto const owner = one->owner;
+    auto const& kind = options_.kinds[owner->kind];
+    owner->locations = {
+        {owner->conversation, owner->own_tokens + options_.output_tokens,
+         one->engine}};
+    owner->own_tokens += options_.output_tokens + kind.new_tokens;
+    if (++owner->turn >= kind.turns)
     {
-        end_program(of);
+        end_program(owner);
         return;
     }
-    later_.push_back(
-        {clock_.now() + kind.pause + way, [this, of] { send_turn(of); }});
+    deferred_.push_back(
+        {clock_.now() + kind.pause + round_trip_time,
+         [this, owner] { send_turn(owner); }});
 }
 
 void engine_fleet::end_program(program_ptr const& one)
 {
-    --under_way_;
+    --active_programs_;
     auto const& kind = options_.kinds[one->kind];
     auto& to = results_[one->kind];
-    auto const in_aim = ms_of(clock_.now() - one->began) <=
-                        one->ideal_ms * kind.aim_factor + ms_of(kind.grace);
-    if (!in_aim)
+    auto const in_time =
+        ms_of(clock_.now() - one->started_at) <=
+        one->ideal_ms * kind.time_limit_factor + ms_of(kind.grace);
+    if (!in_time)
         ++to.late;
     else if (one->refused)
-        ++to.refused_then_in_aim;
+        ++to.refused_then_in_time;
     else
-        ++to.in_aim;
+        ++to.in_time;
 }
 
-/// A node's report to the summing node, and the sum's way back.
-void engine_fleet::report(int node)
+/// Sends a node's report to the summing node and receives the sum.
+void engine_fleet::exchange_reports(int node)
 {
-    tell(node);
-    hear(node);
+    send_report(node);
+    receive_sum(node);
 }
 
-void engine_fleet::tell(int node)
+void engine_fleet::send_report(int node)
 {
-    auto& board = *boards_[static_cast<std::size_t>(node)];
+    auto& balancer = *balancers_[static_cast<std::size_t>(node)];
     load_report own;
-    for (auto const& [engine, calls] : board.own_calls())
+    for (auto const& [engine, calls] : balancer.own_calls())
         own.calls.emplace_back(short_key(engine), calls);
-    if (options_.tells_demand)
+    if (options_.shares_demand)
     {
-        for (auto const& [key, calls] : board.own_demand())
+        for (auto const& [key, calls] : balancer.own_demand())
             own.demand.push_back(
                 {key, static_cast<std::uint32_t>(calls * 100)});
     }
     summary_.set(std::to_string(node), std::move(own), clock_.now());
 }
 
-void engine_fleet::hear(int node)
+void engine_fleet::receive_sum(int node)
 {
-    auto& board = *boards_[static_cast<std::size_t>(node)];
-    if (clock_.now() - summed_at_ >= options_.sum_lasts)
+    auto& balancer = *balancers_[static_cast<std::size_t>(node)];
+    if (clock_.now() - summed_at_ >= options_.sum_ttl)
     {
         sum_ = summary_.sum(clock_.now());
         summed_at_ = clock_.now();
     }
     std::unordered_map<std::uint32_t, std::uint32_t> others(
         sum_.calls.begin(), sum_.calls.end());
-    for (auto const& [engine, calls] : board.own_calls())
+    for (auto const& [engine, calls] : balancer.own_calls())
     {
         auto& all = others[short_key(engine)];
         all -= std::min(all, calls);
     }
-    board.set_peer_loads(
+    balancer.set_peer_loads(
         [&others](target_name const& engine)
         {
             auto const found = others.find(short_key(engine));
@@ -422,8 +428,8 @@
     prompt_demand demand;
     for (auto const& one : sum_.demand)
         demand[one.key] = one.calls / 100.0;
-    if (options_.tells_demand)
-        board.set_all_demand(std::move(demand));
+    if (options_.shares_demand)
+        balancer.set_all_demand(std::move(demand));
 }
 
 } // namespace testing
--- a/test/engine_fleet.hpp
+++ b/test/engine_fleet.hpp
@@ -2,11 +2,11 @@
 #define WALNUTMILL_TEST_ENGINE_FLEET_HPP
 
 /// \file
-/// A fleet of model engines before many nodes, in one process and on a paused
-/// clock: real boards and the real gate on modelled engines. An engine has
-/// slots, a queue by rank, a cache of prompt parts, and reads prompts between
-/// the tokens of its batch; a more urgent call preempts the newest of the least
-/// urgent ones.
+/// Simulates a fleet of model engines behind many nodes, in one process and on
+/// a manual clock. The load balancers and the admission control are the real
+/// ones, and the engines are modelled. An engine has slots, a queue ordered by
+/// rank, and a cache of prompt parts. It reads prompts between the tokens of
+/// its batch. A more urgent call preempts the newest of the least urgent calls.
 
 #include <walnutmill/engine_board.hpp>
 
@@ -36,8 +36,9 @@
     int turns = 4;
     std::uint32_t new_tokens = 1'680;
     std::chrono::milliseconds pause{60};
-    /// Its aim is this times its time on idle engines, and \c grace.
-    double aim_factor = 1.5;
+    /// The time limit is this factor times the time on idle engines, plus
+    /// \c grace.
+    double time_limit_factor = 1.5;
     std::chrono::milliseconds grace{200};
 };
 
@@ -52,27 +53,27 @@
     std::uint32_t shared_tokens = 12'600;
     std::uint32_t output_tokens = 257;
     std::chrono::milliseconds report_interval{100};
-    /// Nodes ask for the sum before each choice, and tell the choice at once.
+    /// Nodes request the sum before each choice and report the choice at once.
     bool reports_choices = true;
-    /// Time for which a sum serves several askers.
-    std::chrono::milliseconds sum_lasts{5};
-    /// Nodes tell each other the demand for shared prompts.
-    bool tells_demand = true;
-    bool gate = true;
-    gate_options gate_with{};
-    board_options board{};
+    /// Time for which a sum is reused for further requests.
+    std::chrono::milliseconds sum_ttl{5};
+    /// Nodes exchange the demand for shared prompts.
+    bool shares_demand = true;
+    bool use_admission_control = true;
+    gate_options admission{};
+    board_options balancer{};
     std::vector<program_kind> kinds;
     std::uint32_t seed = 1;
 };
 
-/// What programs of a kind got.
+/// Outcomes of the programs of a kind.
 struct kind_result
 {
-    int begun = 0;
-    int in_aim = 0;
+    int started = 0;
+    int in_time = 0;
     int late = 0;
-    /// Refused once and in time from then on.
-    int refused_then_in_aim = 0;
+    /// Refused once, then completed in time, counted from the retry.
+    int refused_then_in_time = 0;
     int refused = 0;
 };
 
@@ -81,10 +82,10 @@
 public:
     explicit engine_fleet(fleet_options options);
 
-    /// Programs come at so many times their usual rate from now on.
+    /// Multiplies the arrival rate of programs by a factor from now on.
     void set_rate(double factor) { rate_ = factor; }
     void run_for(std::chrono::milliseconds time);
-    /// Runs until no program is left.
+    /// Runs until no program is left, for at most 60 s.
     void finish();
 
     std::vector<kind_result> const& results() const { return results_; }
@@ -92,7 +93,7 @@
     std::uint64_t tokens_read = 0;
     std::uint64_t shared_tokens_read = 0;
     int preempted = 0;
-    /// Calls that found all slots of their engine taken.
+    /// Calls that arrived while all slots of their engine were in use.
     int sent_to_full = 0;
     int turns = 0;
 
@@ -103,31 +104,31 @@
         int domain = 0;
         int shared = 0;
         int turn = 0;
-        std::string line;
+        std::string conversation;
         std::uint32_t own_tokens = 0;
-        time_point began{};
+        time_point started_at{};
         double ideal_ms = 0;
         bool refused = false;
         std::vector<prompt_part> prompt;
-        std::vector<prompt_place> places;
+        std::vector<prompt_place> locations;
     };
     using program_ptr = std::shared_ptr<program>;
 
     struct running_call
     {
-        program_ptr of;
+        program_ptr owner;
         int node = 0;
         placement_need need;
         engine_ref engine{target_name()};
         std::uint32_t rank = 0;
         time_point sent_at{};
-        /// Time left to read, and tokens left to generate.
+        /// Remaining reading time, and tokens that remain to be generated.
         double reading_ms = 0;
         double tokens_left = 0;
     };
     using call_ptr = std::shared_ptr<running_call>;
 
-    struct engine_state_of
+    struct simulated_engine
     {
         std::vector<call_ptr> running;
         std::deque<call_ptr> queue;
@@ -136,31 +137,31 @@
         std::uint64_t cached = 0;
     };
 
-    struct later
+    struct deferred_call
     {
         time_point at{};
-        std::function<void()> what;
+        std::function<void()> action;
     };
 
     void tick();
     void start_programs();
     int node_of(program const& one);
-    void begin(program_ptr const& one);
+    void admit(program_ptr const& one);
     void send_turn(program_ptr const& one);
     void arrive(std::size_t engine, call_ptr const& one);
-    void start(engine_state_of& engine, call_ptr const& one);
-    bool preempt(engine_state_of& engine, std::uint32_t rank);
-    void advance(engine_state_of& engine);
-    void end(call_ptr const& one);
+    void start(simulated_engine& engine, call_ptr const& one);
+    bool preempt(simulated_engine& engine, std::uint32_t rank);
+    void advance(simulated_engine& engine);
+    void finish_call(call_ptr const& one);
     void end_program(program_ptr const& one);
-    void report(int node);
-    void tell(int node);
-    void hear(int node);
-    std::uint32_t
-    read_prompt(engine_state_of& engine, std::vector<prompt_part> const& parts);
-    void keep(engine_state_of& engine, prompt_part const& part) const;
+    void exchange_reports(int node);
+    void send_report(int node);
+    void receive_sum(int node);
+    std::uint32_t read_prompt(
+        simulated_engine& engine, std::vector<prompt_part> const& parts);
+    void cache_part(simulated_engine& engine, prompt_part const& part) const;
     double turn_ms(std::uint32_t unread) const;
-    bool full(engine_state_of const& engine) const
+    bool is_full(simulated_engine const& engine) const
     {
         return engine.running.size() >= options_.slots;
     }
@@ -168,17 +169,17 @@
     fleet_options options_;
     manual_clock clock_;
     random_fn random_;
-    std::vector<std::unique_ptr<engine_board>> boards_;
+    std::vector<std::unique_ptr<engine_board>> balancers_;
     std::vector<ranks_under_way> ranks_;
     std::vector<time_point> report_at_;
-    std::vector<engine_state_of> engines_;
+    std::vector<simulated_engine> engines_;
     std::vector<kind_result> results_;
     load_summary summary_;
     load_report sum_;
     time_point summed_at_{};
-    std::list<later> later_;
+    std::list<deferred_call> deferred_;
     double rate_ = 1;
-    int under_way_ = 0;
+    int active_programs_ = 0;
     int last_program_ = 0;
 };
 
--- a/test/engine_restart-test.cpp
+++ b/test/engine_restart-test.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t first_start = 1'700'000'000'000;
 constexpr std::int64_t second_start = first_start + 9'000;
 
-/// A node before one plain service, which keeps silent until told otherwise.
+/// One plain service, which does not answer while `silent` is set.
 struct engine_restart_fixture : entry_world
 {
     std::atomic<bool> silent{true};
@@ -47,8 +47,8 @@
 }
 
 TEST_CASE_METHOD(
-    engine_restart_fixture,
-    "engine restart: an order under way is not sent again and not said not run")
+    engine_restart_fixture, "engine restart: an order in flight is not resent "
+                            "and not reported as not run")
 {
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
@@ -72,8 +72,8 @@
     REQUIRE(comes_true([this] { return desk_a.calls().size() == 1; }));
     register_engine(desk_a, "desk", first_start);
     std::this_thread::sleep_for(milliseconds(1'200));
-    // The call is still waited for: its engine lives.
-    CHECK(desk_a.callers_that_left() == 0);
+    // The node still waits for the call, because its engine is alive.
+    CHECK(desk_a.cancelled_calls() == 0);
     test_caller other(node.settings.listen_callers);
     silent = false;
     CHECK(other.call(post("/safe/x", "r2")).status == 200);
--- a/test/entry_node-test.cpp
+++ b/test/entry_node-test.cpp
@@ -18,20 +18,20 @@
     {
         return engine_a.calls().size() + engine_b.calls().size();
     }
-    std::size_t desk_calls() const
+    std::size_t service_calls() const
     {
         return desk_a.calls().size() + desk_b.calls().size();
     }
 
-    void script_desks(standin_target::script_fn const& script)
+    void set_service_handlers(standin_target::handler_fn const& handler)
     {
-        desk_a.set_script(script);
-        desk_b.set_script(script);
+        desk_a.set_script(handler);
+        desk_b.set_script(handler);
     }
-    void script_engines(standin_target::script_fn const& script)
+    void set_engine_handlers(standin_target::handler_fn const& handler)
     {
-        engine_a.set_script(script);
-        engine_b.set_script(script);
+        engine_a.set_script(handler);
+        engine_b.set_script(handler);
     }
 };
 
@@ -73,10 +73,11 @@
         CHECK(got.status == 200);
         CHECK(got.headers.at("Request-Id") == id);
     }
-    CHECK(desk_calls() == 5);
+    CHECK(service_calls() == 5);
 }
 
-TEST_CASE_METHOD(entry_fixture, "entry: what an engine refused runs at another")
+TEST_CASE_METHOD(
+    entry_fixture, "entry: a call refused by an engine runs on another")
 {
     auto& node = start_node();
     desk_a.set_script(
@@ -97,10 +98,11 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: refused by all engines it is refused with a time")
+    entry_fixture,
+    "entry: a call refused by all engines is refused with a retry time")
 {
     auto& node = start_node();
-    script_desks(
+    set_service_handlers(
         [](link_ptr const& link, http_request const&)
         {
             link->write(standin_target::answer(503, "Not-Executed: 1\r\n", ""));
@@ -117,7 +119,7 @@
     entry_fixture, "entry: an order whose answer is lost is never sent again")
 {
     auto& node = start_node();
-    script_desks(
+    set_service_handlers(
         [](link_ptr const& link, http_request const&)
         {
             standin_target::cut(link);
@@ -126,7 +128,7 @@
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/orders/x", "r1"));
     CHECK(got.status == 502);
-    CHECK(desk_calls() == 1);
+    CHECK(service_calls() == 1);
 }
 
 TEST_CASE_METHOD(
@@ -135,9 +137,9 @@
 {
     auto& node = start_node();
     std::atomic<int> served{0};
-    // The service reads the second order on the kept connection, does it, and
-    // ends the connection without a word.
-    script_desks(
+    // The service reads the second order on the reused connection, executes
+    // it, and closes the connection without an answer.
+    set_service_handlers(
         [&](link_ptr const& link, http_request const&)
         {
             if (++served % 2 == 1)
@@ -148,7 +150,7 @@
     test_caller caller(node.settings.listen_callers);
     for (int i = 0; i < 4; ++i)
         caller.call(post("/orders/x", "r" + std::to_string(i)));
-    CHECK(desk_calls() == 4);
+    CHECK(service_calls() == 4);
 }
 
 TEST_CASE_METHOD(
@@ -173,7 +175,7 @@
 {
     auto& node = start_node();
     std::atomic<int> tries{0};
-    script_engines(
+    set_engine_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -197,10 +199,10 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: a stream that lacks a piece never looks whole")
+    entry_fixture, "entry: a stream that lacks an event is never complete")
 {
     auto& node = start_node();
-    script_engines(
+    set_engine_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -225,7 +227,7 @@
     "entry: a stream that can't be resumed ends without its end, run once")
 {
     auto& node = start_node();
-    script_engines(
+    set_engine_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             link->write(standin_target::stream(
@@ -242,10 +244,10 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: a late answer to another call is passed over")
+    entry_fixture, "entry: a late answer to another call is skipped")
 {
     auto& node = start_node();
-    script_desks(
+    set_service_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -269,7 +271,7 @@
     entry_fixture, "entry: bytes after an answer reach no other call")
 {
     auto& node = start_node();
-    script_desks(
+    set_service_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -293,7 +295,7 @@
     entry_fixture, "entry: an answer without a signature is not passed on")
 {
     auto& node = start_node();
-    script_desks(
+    set_service_handlers(
         [&](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -333,7 +335,8 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: the turns of one node are had by another unread")
+    entry_fixture,
+    "entry: a node has another's turns without reading the store")
 {
     auto& first = start_node();
     auto& second = start_node();
@@ -350,8 +353,8 @@
         REQUIRE(two.call(turn("u" + name, goes_on, "/kept/")).whole);
         return store.readings("walnutmill-turns") == before;
     };
-    // Once each has read of the other, no turn is read, whichever of them a
-    // program's turns are told to.
+    // Once the nodes know each other, neither reads a turn from the store,
+    // whichever node a program's turns are reported to.
     CHECK(comes_true(
         [&]
         {
@@ -369,7 +372,7 @@
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     store.silence({turn_history::partition(request_id("t1"), 0)});
-    // The first one finds out, within its time.
+    // The first turn detects the silent partition before its deadline.
     CHECK(caller.call(turn("t1", {}, "/kept/")).whole);
     test_caller again(node.settings.listen_callers);
     CHECK(again.call(turn("t2", "Previous-Turn: t1\r\n", "/kept/")).whole);
@@ -379,7 +382,7 @@
     entry_fixture, "entry: a kept turn has no end while it is not durable")
 {
     auto& node = start_node();
-    script_engines(
+    set_engine_handlers(
         [this](link_ptr const&, http_request const&)
         {
             store.set_down(true);
@@ -405,7 +408,7 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: without the store a new program is told to return")
+    entry_fixture, "entry: without the store a new program is told to retry")
 {
     auto& node = start_node();
     store.set_down(true);
@@ -415,7 +418,7 @@
     CHECK(got.status == 503);
     CHECK(std::stod(got.headers.at("Retry-After")) > 0.5);
     CHECK(engine_calls() == 0);
-    // Plain calls need no store.
+    // Plain calls do not need the store.
     CHECK(caller.call(post("/orders/x", "r1")).status == 200);
 }
 
@@ -436,7 +439,7 @@
     std::string const program = "Program-Id: p9\r\nToken-Budget: 900\r\n";
     CHECK(caller.call(turn("t1", program)).status == 200);
     CHECK(engine_calls() == 1);
-    // One that has to be kept runs, but does not end before it is durable.
+    // A turn that must be stored runs, but does not end before it is durable.
     caller.send(
         turn("k1", "Program-Id: p10\r\nToken-Budget: 900\r\n", "/kept/"));
     REQUIRE(comes_true([this] { return engine_calls() == 2; }));
@@ -466,7 +469,7 @@
     CHECK_FALSE(got.whole);
     CHECK(engine_calls() == 1);
     store.set_down(false);
-    // What could not be kept is not there to go on from.
+    // A turn that was not stored cannot be continued.
     auto const next =
         caller_answer(test_caller(node.settings.listen_callers)
                           .call(turn("k2", "Previous-Turn: k1\r\n", "/kept/")));
@@ -475,14 +478,16 @@
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: a call that an engine has is not said not to run")
+    entry_fixture,
+    "entry: a call that an engine has is not reported as not run")
 {
     auto& node = start_node();
-    // The service takes the order and never answers.
-    script_desks([](link_ptr const&, http_request const&) { return true; });
+    // The service receives the order and never answers.
+    set_service_handlers([](link_ptr const&, http_request const&)
+                         { return true; });
     test_caller caller(node.settings.listen_callers);
     CHECK(caller.call(post("/orders/x", "r1")).status == 504);
-    CHECK(desk_calls() == 1);
+    CHECK(service_calls() == 1);
 }
 
 TEST_CASE_METHOD(
@@ -508,7 +513,8 @@
     CHECK(caller.call(post("/orders/x", "r4")).body.find("done by d") == 0);
 }
 
-TEST_CASE_METHOD(entry_fixture, "entry: an older configuration is never taken")
+TEST_CASE_METHOD(
+    entry_fixture, "entry: an older configuration is never applied")
 {
     auto config = configuration();
     config["version"] = 20;
@@ -540,7 +546,8 @@
 TEST_CASE_METHOD(entry_fixture, "entry: an engine stops when the caller leaves")
 {
     auto& node = start_node();
-    script_engines([](link_ptr const&, http_request const&) { return true; });
+    set_engine_handlers([](link_ptr const&, http_request const&)
+                        { return true; });
     {
         test_caller caller(node.settings.listen_callers);
         caller.send(turn("t1"));
@@ -549,14 +556,12 @@
     }
     CHECK(comes_true(
         [&] {
-            return engine_a.callers_that_left() +
-                       engine_b.callers_that_left() ==
-                   1;
+            return engine_a.cancelled_calls() + engine_b.cancelled_calls() == 1;
         }));
 }
 
 TEST_CASE_METHOD(
-    entry_fixture, "entry: malformed and oversized requests are told so")
+    entry_fixture, "entry: malformed and oversized requests are rejected")
 {
     auto& node = start_node();
     auto const status = [&](std::string const& bytes)
@@ -576,7 +581,7 @@
     CHECK(
         status(post("/orders/x", "r1", "Transfer-Encoding: chunked\r\n")) ==
         400);
-    CHECK(desk_calls() == 0);
+    CHECK(service_calls() == 0);
 }
 
 TEST_CASE_METHOD(
--- a/test/entry_world.cpp
+++ b/test/entry_world.cpp
@@ -30,8 +30,8 @@
     return {asio::ip::address_v4::loopback(), 0};
 }
 
-/// Long enough that a loaded machine does not fail a sound node.
-constexpr seconds patience{60};
+/// Long enough that a correct node becomes ready on a loaded machine.
+constexpr seconds startup_timeout{60};
 
 std::string query_value(std::string const& target, std::string const& name)
 {
@@ -57,11 +57,11 @@
 
 } // namespace
 
-reserved_address::reserved_address() : held_(io_, tcp::v4())
+reserved_address::reserved_address() : bound_(io_, tcp::v4())
 {
-    held_.set_option(tcp::acceptor::reuse_address(true));
-    held_.bind(any_loopback());
-    text_ = "127.0.0.1:" + std::to_string(held_.local_endpoint().port());
+    bound_.set_option(tcp::acceptor::reuse_address(true));
+    bound_.bind(any_loopback());
+    text_ = "127.0.0.1:" + std::to_string(bound_.local_endpoint().port());
 }
 
 standin_server::standin_server()
@@ -219,7 +219,7 @@
     link->finish_answer(false);
 }
 
-json standin_rows::row_json(place const& at) const
+json standin_rows::row_json(row_key const& at) const
 {
     auto const& row = rows_.at(at);
     return {
@@ -233,13 +233,13 @@
 json standin_rows::transaction(json const& body, int& status)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
-    auto const place_of = [](json const& one) {
-        return place{one["table"], one["part"], one["key"]};
+    auto const key_of = [](json const& one) {
+        return row_key{one["table"], one["part"], one["key"]};
     };
     json present = json::array();
     for (auto const& one : body["expect_rev"])
     {
-        auto const found = rows_.find(place_of(one));
+        auto const found = rows_.find(key_of(one));
         auto const version = found == rows_.end() ? 0 : found->second.version;
         if (version != one["ver"].get<std::uint64_t>())
             status = 412;
@@ -251,11 +251,11 @@
     ++version_;
     for (auto const& one : body["writes"])
     {
-        rows_[place_of(one)] = {
+        rows_[key_of(one)] = {
             from_base64(one["value"].get<std::string>()), version_};
     }
     for (auto const& one : body["remove"])
-        rows_.erase(place_of(one));
+        rows_.erase(key_of(one));
     return {{"ver", version_}, {"now_ms", 1}};
 }
 
@@ -281,13 +281,13 @@
 {
     server_.on_request =
         [this](link_ptr const& link, http_request const& request)
-    { take(link, request); };
+    { handle(link, request); };
 }
 
-void standin_target::set_script(script_fn script)
+void standin_target::set_script(handler_fn handler)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
-    script_ = std::move(script);
+    handler_ = std::move(handler);
 }
 
 std::vector<received_call> standin_target::calls() const
@@ -296,7 +296,7 @@
     return calls_;
 }
 
-void standin_target::take(link_ptr const& link, http_request const& request)
+void standin_target::handle(link_ptr const& link, http_request const& request)
 {
     received_call one;
     one.id = std::string(request["Request-Id"]);
@@ -304,14 +304,14 @@
     for (auto const& field : request)
         one.headers[std::string(field.name_string())] =
             std::string(field.value());
-    script_fn script;
+    handler_fn handler;
     {
         std::lock_guard<std::mutex> const lock(mutex_);
         calls_.push_back(one);
-        script = script_;
+        handler = handler_;
     }
-    link->on_gone = [this] { ++left_; };
-    if (script && script(link, request))
+    link->on_gone = [this] { ++cancelled_; };
+    if (handler && handler(link, request))
         return;
     std::string const path(request.target());
     if (path.find("/turns/") == 0 || path.find("/kept/") == 0)
@@ -453,7 +453,7 @@
 entry_world::node& entry_world::start_node()
 {
     auto& started = launch_node();
-    auto const end = std::chrono::steady_clock::now() + patience;
+    auto const end = std::chrono::steady_clock::now() + startup_timeout;
     while (!is_ready(started))
     {
         if (std::chrono::steady_clock::now() > end)
@@ -486,17 +486,20 @@
 }
 
 void entry_world::register_engine(
-    standin_target const& one, std::string const& service, std::int64_t born)
+    standin_target const& one, std::string const& service,
+    std::int64_t started_at_ms)
 {
-    store.put("servers", one.id(), engine_row(service, one.address(), born));
+    store.put(
+        "servers", one.id(), engine_row(service, one.address(), started_at_ms));
 }
 
 json entry_world::engine_row(
-    std::string const& service, std::string const& address, std::int64_t born)
+    std::string const& service, std::string const& address,
+    std::int64_t started_at_ms)
 {
     return {{"service", service}, {"addr", address}, {"zone", "z1"},
             {"version", 1},       {"slots", 8},      {"state", "ready"},
-            {"cold_left_ms", 0},  {"seq", 1},        {"born", born}};
+            {"cold_left_ms", 0},  {"seq", 1},        {"born", started_at_ms}};
 }
 
 json entry_world::configuration()
--- a/test/entry_world.hpp
+++ b/test/entry_world.hpp
@@ -2,8 +2,9 @@
 #define WALNUTMILL_TEST_ENTRY_WORLD_HPP
 
 /// \file
-/// Entry nodes on the loopback between callers and stand-ins of the users'
-/// platform: its store and its engines, as their published protocol has them.
+/// Runs entry nodes on the loopback interface between test callers and
+/// stand-ins for the users' platform. The stand-ins for its store and engines
+/// follow the published protocol.
 
 #include "entry/caller_link.hpp"
 #include "entry/entry_node.hpp"
@@ -31,24 +32,25 @@
 using link_ptr = std::shared_ptr<caller_link>;
 using http_request = caller_link::request_type;
 
-/// IP:PORT on the loopback for a node that is started later. Bound, not
-/// listened on: the system hands the port to nobody who asks for any port,
-/// and a node, which sets SO_REUSEADDR as this does, can still listen on it.
+/// Reserves a loopback IP:PORT for a node that is started later. The socket is
+/// bound but does not listen. The system therefore never assigns the port as an
+/// ephemeral one, and a node can still listen on it, because both sockets set
+/// SO_REUSEADDR.
 class reserved_address
 {
 public:
-    /// \throws boost::system::system_error where no port is left
+    /// \throws boost::system::system_error if no port is available
     reserved_address();
 
     std::string const& text() const { return text_; }
 
 private:
     boost::asio::io_context io_;
-    boost::asio::ip::tcp::acceptor held_;
+    boost::asio::ip::tcp::acceptor bound_;
     std::string text_;
 };
 
-/// A server on a free port of the loopback, on its own thread.
+/// A server on a free loopback port that runs on its own thread.
 class standin_server
 {
 public:
@@ -60,9 +62,9 @@
     standin_server& operator=(standin_server const&) = delete;
 
     std::string address() const;
-    /// Set before the first request comes.
+    /// Must be set before the first request arrives.
     answer_fn on_request;
-    /// Runs on the server's thread after a while.
+    /// Runs a function on the server's thread after a delay.
     void later(std::chrono::milliseconds after, std::function<void()> what);
 
 private:
@@ -75,7 +77,8 @@
     std::thread thread_;
 };
 
-/// The platform's store: rows with versions and conditions.
+/// A stand-in for the platform's store: versioned rows and conditional
+/// transactions.
 class standin_rows
 {
 public:
@@ -85,22 +88,23 @@
     void
     put(std::string const& table, std::string const& key,
         nlohmann::json const& value);
-    /// A value that may be no document.
+    /// Stores a value that need not be valid JSON.
     void put_bytes(
         std::string const& table, std::string const& key, std::string value);
     void remove(std::string const& table, std::string const& key);
-    /// While down, every call is answered 503.
+    /// While down, the store answers every call with 503.
     void set_down(bool down) { down_ = down; }
-    /// Every so manieth transaction is done but not answered; 0: all are.
+    /// Applies every n-th transaction without answering it; 0 answers all.
     void lose_answers(unsigned every) { lose_every_ = every; }
     std::size_t count(std::string const& table) const;
-    /// \return readings of a table until now
+    /// \return the number of reads of a table so far
     std::size_t readings(std::string const& table) const;
-    /// \return transactions that came for a partition, answered or not
+    /// \return the number of transactions received for a partition, including
+    /// unanswered ones
     std::size_t transactions_of(std::string const& partition) const;
-    /// Calls to these partitions are not answered.
+    /// Leaves calls to these partitions unanswered.
     void silence(std::set<std::string> partitions);
-    /// Readings of this table are not answered; empty: all are.
+    /// Leaves reads of this table unanswered; an empty name answers all.
     void silence_table(std::string const& table);
 
 private:
@@ -109,16 +113,16 @@
         std::string value;
         std::uint64_t version = 0;
     };
-    using place = std::array<std::string, 3>;
+    using row_key = std::array<std::string, 3>;
 
     void answer(link_ptr const& link, http_request const& request);
     nlohmann::json transaction(nlohmann::json const& body, int& status);
     nlohmann::json range(std::string const& target);
     bool is_silent(http_request const& request);
-    nlohmann::json row_json(place const& at) const;
+    nlohmann::json row_json(row_key const& at) const;
 
     mutable std::mutex mutex_;
-    std::map<place, stored> rows_;
+    std::map<row_key, stored> rows_;
     std::map<std::string, std::size_t> readings_;
     std::map<std::string, std::size_t> transactions_of_;
     std::set<std::string> silent_;
@@ -130,7 +134,7 @@
     standin_server server_;
 };
 
-/// What an engine was sent.
+/// A call as a stand-in received it.
 struct received_call
 {
     std::string id;
@@ -138,53 +142,56 @@
     std::map<std::string, std::string> headers;
 };
 
-/// A model engine or a plain service that answers as the test says.
+/// A stand-in for a model engine or a plain service. The test sets its
+/// responses.
 class standin_target
 {
 public:
-    /// Answers one request; \return false to use the usual answer.
-    using script_fn = std::function<bool(link_ptr const&, http_request const&)>;
+    /// Answers one request; \return false to send the default answer.
+    using handler_fn =
+        std::function<bool(link_ptr const&, http_request const&)>;
 
     explicit standin_target(std::string id);
 
     std::string const& id() const { return id_; }
     std::string address() const { return server_.address(); }
-    void set_script(script_fn script);
+    void set_script(handler_fn handler);
     std::vector<received_call> calls() const;
-    std::size_t callers_that_left() const { return left_; }
+    std::size_t cancelled_calls() const { return cancelled_; }
     standin_server& server() { return server_; }
 
-    /// A whole stream with events `from` to `to`, or its unfinished start.
+    /// A stream with events `from` to `to`, without the last chunk if not
+    /// `finished`.
     static std::string
     stream(std::string const& request_id, int from, int to, bool finished);
     static std::string event(int number);
     static std::string
     answer(int status, std::string const& headers, std::string const& body);
-    /// Ends the connection in the middle of an answer.
+    /// Closes the connection in the middle of an answer.
     static void cut(link_ptr const& link);
 
 private:
-    void take(link_ptr const& link, http_request const& request);
+    void handle(link_ptr const& link, http_request const& request);
 
     std::string id_;
     mutable std::mutex mutex_;
     std::vector<received_call> calls_;
-    script_fn script_;
-    std::atomic<std::size_t> left_{0};
+    handler_fn handler_;
+    std::atomic<std::size_t> cancelled_{0};
     standin_server server_;
 };
 
-/// An answer as a caller got it.
+/// An answer as a caller received it.
 struct caller_answer
 {
     int status = 0;
     std::map<std::string, std::string> headers;
     std::string body;
-    /// The answer came to its proper end.
+    /// The answer was received completely.
     bool whole = false;
 };
 
-/// A caller's connection.
+/// A caller with one connection.
 class test_caller
 {
 public:
@@ -201,7 +208,7 @@
     std::string buffer_;
 };
 
-/// Two engines, two plain services, a store, and nodes on demand.
+/// Two engines, two plain services, a store, and nodes started on demand.
 struct entry_world
 {
     standin_rows store;
@@ -223,21 +230,21 @@
         std::unique_ptr<entry_node> process;
         std::thread thread;
     };
-    /// Starts a node.
+    /// Starts a node without waiting until it is ready.
     node& launch_node();
     /// Starts a node and waits until it is ready.
     node& start_node();
     void stop_node(node& one);
     bool is_ready(node const& one) const;
 
-    /// \param born when the engine started, in Unix milliseconds
+    /// \param started_at_ms start time of the engine in Unix milliseconds
     void register_engine(
         standin_target const& one, std::string const& service,
-        std::int64_t born = 1'700'000'000'000);
-    /// What an engine that is ready says of itself in the store.
+        std::int64_t started_at_ms = 1'700'000'000'000);
+    /// The row that a ready engine writes to the store.
     static nlohmann::json engine_row(
         std::string const& service, std::string const& address,
-        std::int64_t born);
+        std::int64_t started_at_ms);
     static nlohmann::json configuration();
     static std::string turn(
         std::string const& id, std::string const& extra = {},
@@ -246,7 +253,7 @@
         std::string const& path, std::string const& id,
         std::string const& extra = {}, std::string const& body = "order");
 
-    /// \return false where the condition did not hold within half a minute.
+    /// Polls a condition. \return false if it does not hold within 30 s.
     template<class Condition>
     static bool comes_true(Condition const& condition)
     {
@@ -258,11 +265,12 @@
     }
 
     std::vector<std::unique_ptr<node>> nodes;
-    /// Of nodes started from then on. Beyond all deadlines, as engines of most
-    /// tests keep silent for other reasons.
+    /// Least stall timeout of nodes started from then on. It exceeds all
+    /// deadlines, because the engines of most tests are silent for other
+    /// reasons.
     std::chrono::milliseconds stall_least{20'000};
-    /// Of nodes started from then on: within which no key that was taken away
-    /// is served; zero: no bound.
+    /// Time in which nodes started from then on stop accepting a revoked key;
+    /// zero sets no bound.
     std::chrono::milliseconds revoke{0};
 };
 
--- a/test/fake_store.hpp
+++ b/test/fake_store.hpp
@@ -2,8 +2,8 @@
 #define WALNUTMILL_TEST_FAKE_STORE_HPP
 
 /// \file
-/// The platform's versioned store in memory, with faults at chosen steps.
-/// Calls wait until run() performs them in order.
+/// An in-memory version of the platform's versioned store that injects faults
+/// at chosen steps. Calls are queued until run() executes them in order.
 
 #include <walnutmill/versioned_store.hpp>
 
@@ -22,27 +22,27 @@
 namespace testing
 {
 
-/// What goes wrong with one call.
+/// The fault injected into a call.
 enum class store_fault
 {
     none,
-    /// Nothing is done, and that is known.
+    /// The call is not applied, and the caller knows it.
     refuse,
-    /// Nothing is done, and the caller can't tell.
+    /// The call is not applied, and its outcome is unknown to the caller.
     lose,
-    /// It is done, and the caller can't tell.
+    /// The call is applied, and its outcome is unknown to the caller.
     drop_answer,
-    /// It is done, the answer is lost, and the client's own second try finds
-    /// its condition gone.
-    answer_second_try,
-    /// The caller can't tell; it is done a few steps later if its conditions
-    /// still hold then.
+    /// The call is applied and its answer is lost. The client's own retry then
+    /// fails on the version condition.
+    conflict_on_retry,
+    /// The outcome is unknown to the caller. The call is applied a few steps
+    /// later if its conditions still hold.
     late
 };
 
 constexpr store_fault all_store_faults[] = {
     store_fault::refuse, store_fault::lose, store_fault::drop_answer,
-    store_fault::answer_second_try, store_fault::late};
+    store_fault::conflict_on_retry, store_fault::late};
 
 class fake_store
 {
@@ -69,7 +69,7 @@
         return to;
     }
 
-    /// Performs one waiting call. \return false when none waits.
+    /// Executes one queued call. \return false if the queue is empty.
     bool run_one()
     {
         if (queue_.empty())
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Forgets the calls of clients that are gone.
+    /// Drops the queued calls of clients that no longer exist.
     void drop_waiting() { queue_.clear(); }
 
     void fail_step(std::size_t step, store_fault fault)
@@ -172,7 +172,7 @@
         apply(one);
         if (fault == store_fault::drop_answer)
             return to;
-        if (fault == store_fault::answer_second_try && !one.conditions.empty())
+        if (fault == store_fault::conflict_on_retry && !one.conditions.empty())
         {
             to = conflict_of(one);
             to.in_doubt = true;
--- a/test/foreign_entry-test.cpp
+++ b/test/foreign_entry-test.cpp
@@ -14,7 +14,7 @@
 using namespace walnutmill::testing;
 using nlohmann::json;
 
-/// Rows of the engines' table as other writers may leave them.
+/// Rows of the engines' table as other writers may store them.
 struct foreign_entry_fixture : entry_world
 {
     json const whole = engine_row("desk", "127.0.0.1:9", 1'700'000'000'000);
@@ -38,7 +38,7 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    foreign_entry_fixture, "foreign entry: a whole one is an engine")
+    foreign_entry_fixture, "foreign entry: a complete one is an engine")
 {
     auto const got = decode(whole);
     REQUIRE(got);
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE_METHOD(
-    foreign_entry_fixture, "foreign entry: beside them the engines are used")
+    foreign_entry_fixture, "foreign entry: valid engines beside them are used")
 {
     store.put("servers", "f1", "no entry");
     store.put("servers", "f2", {{"service", 7}});
@@ -112,14 +112,14 @@
 
 TEST_CASE_METHOD(
     foreign_entry_fixture,
-    "foreign entry: in place of an engine's own it takes the engine away")
+    "foreign entry: in place of an engine's own it removes the engine")
 {
     auto& node = start_node();
     store.put("servers", "da", {{"service", "desk"}});
     auto const end = std::chrono::steady_clock::now() + std::chrono::seconds(3);
     std::size_t seen = 0;
-    // Once the row is read, some half a second later, all calls go to the
-    // other one.
+    // Once the node reads the row, about half a second later, all calls go to
+    // the other service.
     while (std::chrono::steady_clock::now() < end)
     {
         seen = desk_a.calls().size();
--- a/test/program_line-test.cpp
+++ b/test/program_line-test.cpp
@@ -10,13 +10,13 @@
 using namespace walnutmill;
 using namespace walnutmill::testing;
 
-/// Two nodes that know each other, before two engines.
-struct program_line_fixture : entry_world
+/// Two nodes that know each other, in front of two engines.
+struct conversation_fixture : entry_world
 {
     node& first;
     node& second;
 
-    program_line_fixture() : first(start_node()), second(start_node())
+    conversation_fixture() : first(start_node()), second(start_node())
     {
         REQUIRE(both_show("walnutmill_nodes_known 2"));
     }
@@ -33,12 +33,13 @@
             [&] { return shows(first, metric) && shows(second, metric); });
     }
 
-    /// Runs a turn of the program whose line has so many tokens by then.
+    /// Runs a turn of a program whose conversation has the given number of
+    /// tokens.
     void run_turn(
         node const& through, std::string const& program, std::string const& id,
-        int line_tokens)
+        int conversation_tokens)
     {
-        auto const tokens = std::to_string(line_tokens);
+        auto const tokens = std::to_string(conversation_tokens);
         test_caller caller(through.settings.listen_callers);
         auto const got = caller.call(post(
             "/turns/x", id,
@@ -49,8 +50,7 @@
         REQUIRE(got.whole);
     }
 
-    static bool
-    ran_there(standin_target const& engine, std::string const& request)
+    static bool ran_on(standin_target const& engine, std::string const& request)
     {
         for (auto const& call : engine.calls())
         {
@@ -64,10 +64,10 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    program_line_fixture,
-    "program line: a turn through another node runs where the last one ran")
+    conversation_fixture,
+    "program line: a turn through another node runs on the same engine")
 {
-    // First turns run at one engine, then at the other, as the other is away.
+    // Each engine is removed in turn, so that first turns run on both.
     constexpr int each = 6;
     std::vector<std::string> programs;
     for (auto const* away : {&engine_a, &engine_b})
@@ -86,7 +86,7 @@
     {
         run_turn(second, program, program + "02", 31'000);
         CHECK(
-            ran_there(engine_a, program + "01") ==
-            ran_there(engine_a, program + "02"));
+            ran_on(engine_a, program + "01") ==
+            ran_on(engine_a, program + "02"));
     }
 }
--- a/test/reserved_address-test.cpp
+++ b/test/reserved_address-test.cpp
@@ -32,18 +32,20 @@
 
 } // namespace
 
-// A port that was only free a moment ago went to another process's connection
-// now and then; the node did not start, and its test waited without end.
+// Guards against a port that is only probed as free and not reserved. The
+// system can assign it to another process's connection. The node then does not
+// start, and its test waits forever.
 TEST_CASE_METHOD(
     reserved_address_fixture,
-    "reserved address, asked for by a stranger, is refused")
+    "reserved address, requested by another process, is refused")
 {
     listen(false);
     CHECK(error == asio::error::address_in_use);
 }
 
 TEST_CASE_METHOD(
-    reserved_address_fixture, "reserved address, asked for by its node, is had")
+    reserved_address_fixture,
+    "reserved address, requested by its node, is available")
 {
     listen(true);
     CHECK_FALSE(error);
--- a/test/workspace_calls-test.cpp
+++ b/test/workspace_calls-test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Entry nodes on a configuration with workspaces, over the loopback.
+/// Tests entry nodes whose configuration has workspaces, on the loopback
+/// interface.
 
 #include "entry_world.hpp"
 
@@ -38,7 +39,7 @@
         store.put("op", "config", document);
     }
 
-    std::vector<received_call> desk_calls() const
+    std::vector<received_call> service_calls() const
     {
         auto calls = desk_a.calls();
         auto const others = desk_b.calls();
@@ -52,8 +53,8 @@
         return caller.call(bytes).status;
     }
 
-    /// \return the status once it is the wanted one, or the last one
-    int comes_to(
+    /// Repeats a call until it has the wanted status. \return the last status
+    int wait_for_status(
         node const& at, std::string const& id, std::string const& key,
         int wanted) const
     {
@@ -82,15 +83,15 @@
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: a key opens the way, and engines get the name alone")
+    "workspaces: a key gives access, and engines get the name alone")
 {
     auto& node = start_node();
     REQUIRE(
         status_of(
             node, post("/orders/x", "r1", key_a + "Tenant: forged\r\n")) ==
         200);
-    REQUIRE(desk_calls().size() == 1);
-    auto const headers = desk_calls().front().headers;
+    REQUIRE(service_calls().size() == 1);
+    auto const headers = service_calls().front().headers;
     CHECK(headers.at("Tenant") == "archive");
     CHECK(headers.count("X-Api-Key") == 0);
 }
@@ -105,7 +106,7 @@
         status_of(node, post("/orders/x", "r2", "X-Api-Key: guessed\r\n")) ==
         401);
     CHECK(status_of(node, post("/orders/x", "r3", key_a + key_b)) == 400);
-    CHECK(desk_calls().empty());
+    CHECK(service_calls().empty());
 }
 
 TEST_CASE_METHOD(
@@ -119,7 +120,7 @@
     CHECK(
         status_of(node, post("/orders/x", "r2", "X-Api-Key: guessed\r\n")) ==
         200);
-    for (auto const& call : desk_calls())
+    for (auto const& call : service_calls())
     {
         CHECK(call.headers.count("Tenant") == 0);
         CHECK(call.headers.count("X-Api-Key") == 0);
@@ -128,7 +129,7 @@
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: a resumed stream bears the name and not the key")
+    "workspaces: a resumed stream carries the name and not the key")
 {
     auto& node = start_node();
     std::atomic<int> served{0};
@@ -168,7 +169,7 @@
     {
         CHECK(status_of(*at, turn("t2", key_b + previous, "/kept/")) == 404);
         CHECK(status_of(*at, turn("t3", key_a + previous, "/kept/")) == 200);
-        // The internal id of the other's turn opens nothing either.
+        // The internal id of the other workspace's turn gives no access either.
         CHECK(
             status_of(
                 *at, turn(
@@ -179,7 +180,7 @@
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: a turn kept before keys were needed can be gone on from")
+    "workspaces: a turn stored before keys were needed can be continued")
 {
     auto const tenants = document["tenants"];
     document.erase("tenants");
@@ -198,7 +199,7 @@
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: the same program id of two is two budgets")
+    "workspaces: the same program id in two has two budgets")
 {
     auto& node = start_node();
     auto const spends_all =
@@ -220,49 +221,48 @@
         200);
 }
 
-TEST_CASE_METHOD(
-    workspace_calls_fixture, "workspaces: a key that is taken away is denied")
+TEST_CASE_METHOD(workspace_calls_fixture, "workspaces: a revoked key is denied")
 {
     auto& node = start_node();
     CHECK(status_of(node, post("/orders/x", "r1", key_a)) == 200);
     document["tenants"][0]["api_keys"] = json::array();
     publish();
-    CHECK(comes_to(node, "a", key_a, 401) == 401);
+    CHECK(wait_for_status(node, "a", key_a, 401) == 401);
     CHECK(status_of(node, post("/orders/x", "r2", key_b)) == 200);
 }
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: out of touch beyond the bound no key is served")
+    "workspaces: without the store beyond the bound no key is accepted")
 {
     auto& node = start_bounded(milliseconds(1'500));
     CHECK(status_of(node, post("/orders/x", "r1", key_a)) == 200);
     store.set_down(true);
-    CHECK(comes_to(node, "a", key_a, 503) == 503);
-    auto const ran = desk_calls().size();
+    CHECK(wait_for_status(node, "a", key_a, 503) == 503);
+    auto const ran = service_calls().size();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/orders/x", "r2", key_a));
     CHECK(got.status == 503);
     CHECK(std::stod(got.headers.at("Retry-After")) > 0);
-    CHECK(desk_calls().size() == ran);
+    CHECK(service_calls().size() == ran);
     store.set_down(false);
-    CHECK(comes_to(node, "b", key_a, 200) == 200);
+    CHECK(wait_for_status(node, "b", key_a, 200) == 200);
 }
 
 TEST_CASE_METHOD(
     workspace_calls_fixture,
-    "workspaces: over all nodes a limit holds, and refusals say when")
+    "workspaces: a limit holds over all nodes, and 429 has a retry time")
 {
     document["tenants"][0]["rate_per_s"] = 2;
     document["tenants"][0]["burst"] = 2;
     publish();
     auto& first = start_node();
     auto& second = start_node();
-    // Until both know each other no request can be granted.
-    REQUIRE(comes_to(first, "a", key_a, 200) == 200);
-    REQUIRE(comes_to(second, "b", key_a, 200) == 200);
+    // No request is granted before both nodes know each other.
+    REQUIRE(wait_for_status(first, "a", key_a, 200) == 200);
+    REQUIRE(wait_for_status(second, "b", key_a, 200) == 200);
     auto const began = std::chrono::steady_clock::now();
-    auto const before = desk_calls().size();
+    auto const before = service_calls().size();
     int over = 0;
     for (int i = 0; i < 60; ++i)
     {
@@ -277,9 +277,9 @@
     }
     auto const took =
         std::chrono::duration<double>(std::chrono::steady_clock::now() - began);
-    // The burst at both nodes, and what the time refilled.
+    // The burst at both nodes plus the tokens refilled meanwhile.
     CHECK(
-        static_cast<double>(desk_calls().size() - before) <=
+        static_cast<double>(service_calls().size() - before) <=
         2 * 2 + 2 * took.count() + 1);
     CHECK(over > 0);
     CHECK(status_of(first, post("/orders/x", "r", key_b)) == 200);
