--- a/include/walnutmill/engine_board.hpp
+++ b/include/walnutmill/engine_board.hpp
@@ -158,7 +158,7 @@
     /// Expected wait for a slot.
     std::chrono::milliseconds wait{0};
     /// Expected time to the first byte of the answer, including the wait.
-    std::chrono::milliseconds first_bytes{0};
+    std::chrono::milliseconds time_to_first_byte{0};
     /// Estimated number of calls from all nodes at the engine.
     double load = 0;
     std::uint32_t slots = 0;
@@ -242,12 +242,12 @@
         engine_outcome outcome, duration took);
     /// Records that a call at the engine has exceeded its stall timeout; the
     /// call may still complete there.
-    void stalled(engine_ref const& engine);
+    void call_stalled(engine_ref const& engine);
     /// Records the load that the engine reported in an answer.
     void told_load(engine_ref const& engine, engine_load const& load);
     /// Records that another node's call left a prompt part in an engine's
     /// prefix cache.
-    void learn(prompt_place const& place);
+    void add_prefix_location(prompt_place const& place);
     /// Sets the number of calls from other nodes at each engine, as of the
     /// latest exchange between nodes.
     void set_peer_loads(
--- a/include/walnutmill/program_ledger.hpp
+++ b/include/walnutmill/program_ledger.hpp
@@ -93,7 +93,7 @@
 {
     /// The node manages the account for all nodes and reserves tokens for
     /// future turns.
-    home,
+    coordinator,
     /// The fallback for a coordinator that is another node and could not be
     /// reached. Reserves only what a turn needs, and releases it as soon as the
     /// turn has ended.
@@ -180,11 +180,11 @@
     void admit(
         program_id const& program, std::uint64_t budget,
         std::uint64_t most_tokens, answer_fn answer, bool needs_store = false,
-        account_role role = account_role::home);
+        account_role role = account_role::coordinator);
 
     /// \return true if the program is in memory, as a turn of it was requested
     /// recently.
-    bool knows(program_id const& program) const;
+    bool is_tracking(program_id const& program) const;
 
     /// Records that an admitted turn has ended.
     /// \param most_tokens as passed to admit()
@@ -239,7 +239,7 @@
         bool change_pending = false;
         int attempts = 0;
         bool releasing = false;
-        account_role role = account_role::home;
+        account_role role = account_role::coordinator;
         /// Version of the account that last blocked a turn, and since when.
         std::uint64_t contended_version = 0;
         time_point contended_since{};
--- a/include/walnutmill/quota.hpp
+++ b/include/walnutmill/quota.hpp
@@ -35,7 +35,7 @@
     /// Length of the sliding window; zero: the excess is not checked.
     duration window{0};
     /// Allowed excess as a fraction of the limit.
-    double over = 0;
+    double excess_fraction = 0;
     /// Allowed excess in requests, in addition to the fraction.
     double slack = 0;
 };
@@ -84,7 +84,7 @@
     /// since unreachable members may use another coordinator
     /// \return the decision; with `over_limit`, also when to retry
     quota_answer
-    take(quota_request const& request, time_point now, double share = 1);
+    acquire(quota_request const& request, time_point now, double share = 1);
 
     /// Refills all buckets. Call it a few times per second, so that each refill
     /// uses the share of its own interval. A pause of 1 s or more means that
@@ -97,7 +97,7 @@
     void erase_if(std::function<bool(workspace_name const&)> const& is_remote);
 
     /// Returns the token of a granted request that never reached an engine.
-    void give_back(workspace_name const& owner);
+    void refund(workspace_name const& owner);
 
     std::size_t size() const { return buckets_.size(); }
 
--- a/include/walnutmill/stall_policy.hpp
+++ b/include/walnutmill/stall_policy.hpp
@@ -28,7 +28,7 @@
     /// Lower bound of the stall timeout. It is fifteen times the usual time
     /// between two events (22 tokens at 1.2 to 1.6 ms each), and longer than
     /// the retransmission of a lost packet takes (200 ms).
-    std::chrono::milliseconds least{400};
+    std::chrono::milliseconds min_timeout{400};
     /// Silence tolerated in addition, as a multiple of the expected time. In 99
     /// of 100 turns the first event arrives within four times its estimate
     /// while no engine has a queue. Plain calls vary more: with three customers
--- a/include/walnutmill/start_lease.hpp
+++ b/include/walnutmill/start_lease.hpp
@@ -168,18 +168,18 @@
     void observe(std::string const& partition, stored_row const* row);
 
     /// \return false if that incarnation of a node is not known to be alive.
-    bool lives(std::string const& incarnation) const;
+    bool is_incarnation_alive(std::string const& incarnation) const;
 
     /// \return true if the program is known to have no account and this node
     /// may let it spend its escrow without one.
     bool may_start(program_id const& program) const;
     /// Records that the program was started without an account.
-    void started(program_id const& program);
+    void record_started(program_id const& program);
     /// Records that the program has an account.
     void account_seen(program_id const& program);
     /// Confirms the lease: this node wrote an account under that version.
     /// \param requested_at when the write was sent
-    void held_at(
+    void confirm_held(
         std::string const& partition, std::uint64_t version,
         time_point requested_at);
 
--- a/include/walnutmill/turn_history.hpp
+++ b/include/walnutmill/turn_history.hpp
@@ -34,7 +34,7 @@
 {
 
 /// A turn in its stored form.
-struct kept_turn
+struct stored_turn
 {
     request_id id;
     /// Ids of the preceding turns, oldest first.
@@ -48,24 +48,24 @@
 };
 
 /// Encodes the chain, input and output of a turn as CBOR; the id is omitted.
-std::string encode(kept_turn const& turn);
+std::string encode(stored_turn const& turn);
 /// Decodes the result of encode().
 /// \return null if the bytes are not a valid turn.
-std::shared_ptr<kept_turn const>
+std::shared_ptr<stored_turn const>
 decode_turn(request_id const& id, std::string_view bytes);
 
 /// Header at the start of the first row of a stored turn.
 struct turn_head
 {
     /// Number of rows of the turn, including this one.
-    std::size_t pieces = 1;
+    std::size_t chunk_count = 1;
     /// Time of writing in UTC seconds.
     std::int64_t written_at = 0;
     /// Size of the header in bytes, which is the offset of the encoded turn.
     std::size_t size = 0;
 };
 /// \return the header text for the first row of a turn.
-std::string encode_turn_head(std::size_t pieces, std::int64_t written_at);
+std::string encode_turn_head(std::size_t chunk_count, std::int64_t written_at);
 /// \return nullopt if the value is not the first row of a turn.
 std::optional<turn_head> decode_turn_head(std::string_view value);
 
@@ -108,7 +108,8 @@
     std::chrono::milliseconds fallback_check_interval{350};
     /// Runs a function after a delay. If null, each turn is written to one
     /// partition only.
-    std::function<void(std::chrono::milliseconds, std::function<void()>)> later;
+    std::function<void(std::chrono::milliseconds, std::function<void()>)>
+        schedule_after;
     /// Clock for the time of writing, by which expired turns are removed.
     utc_fn utc = system_utc();
 };
@@ -124,7 +125,7 @@
         request_chain;
     /// Sends a turn that has become durable to a peer.
     std::function<void(
-        std::string const& group, std::shared_ptr<kept_turn const> turn)>
+        std::string const& group, std::shared_ptr<stored_turn const> turn)>
         announce;
 };
 
@@ -132,7 +133,7 @@
 class turn_history
 {
 public:
-    using turn_ptr = std::shared_ptr<kept_turn const>;
+    using turn_ptr = std::shared_ptr<stored_turn const>;
     using chain_fn = std::function<void(history_answer, turn_chain)>;
     using stored_fn = std::function<void(bool durable)>;
 
@@ -168,8 +169,8 @@
     /// \param done called once; \c durable is false if the write failed or its
     /// outcome is unknown
     /// \param group as in load(); if not empty, a peer gets the durable turn
-    void keep(
-        kept_turn turn, std::chrono::milliseconds timeout, stored_fn done,
+    void store_turn(
+        stored_turn turn, std::chrono::milliseconds timeout, stored_fn done,
         std::string const& group = {});
 
     void set_peers(history_peers peers) { peers_ = std::move(peers); }
@@ -206,7 +207,7 @@
         range_result const& result);
     void fetch_chunks(
         request_id const& id, std::size_t candidate, std::string first_chunk,
-        std::size_t pieces, turn_fn const& done);
+        std::size_t chunk_count, turn_fn const& done);
     void load_chain(chain_load_ptr const& load_state);
     void on_turn_loaded(chain_load_ptr const& load_state);
     bool answers(request_id const& id, std::size_t candidate) const;
--- a/src/cli_explain.cpp
+++ b/src/cli_explain.cpp
@@ -39,7 +39,7 @@
         }
         story.read(file);
     }
-    auto const lines = story.tell();
+    auto const lines = story.format_lines();
     for (auto const& line : lines)
         std::cout << line << '\n';
     if (lines.empty())
--- a/src/entry/budget_desk.cpp
+++ b/src/entry/budget_desk.cpp
@@ -89,10 +89,10 @@
 std::vector<prompt_place> cache_locations_of(json const& body)
 {
     std::vector<prompt_place> to;
-    auto const places = body.find("places");
-    if (places == body.end())
+    auto const cache_locations = body.find("places");
+    if (cache_locations == body.end())
         return to;
-    for (auto const& one : *places)
+    for (auto const& one : *cache_locations)
     {
         if (auto place = cache_location_of(one))
             to.push_back(std::move(*place));
@@ -121,7 +121,7 @@
 void budget_desk::admit_locally(
     admission_request const& request, account_role role, answer_fn answer)
 {
-    if (request.only_begun && !ledger_.knows(request.program))
+    if (request.only_begun && !ledger_.is_tracking(request.program))
     {
         answer(admission_answer::not_begun, {});
         return;
@@ -131,15 +131,16 @@
         [this, alive = alive_, request,
          answer = std::move(answer)](admission_answer what)
         {
-            auto places = *alive ? cache_locations_.of(request.program)
-                                 : std::vector<prompt_place>();
+            auto cache_locations =
+                *alive ? cache_locations_.locations_of(request.program)
+                       : std::vector<prompt_place>();
             answer(
                 what, {request.program,
                        request.most_tokens,
                        {},
                        {},
                        {},
-                       std::move(places)});
+                       std::move(cache_locations)});
         },
         request.needs_store, role);
 }
@@ -147,13 +148,13 @@
 void budget_desk::admit(
     admission_request const& request, answer_fn const& answer)
 {
-    auto const* home =
+    auto const* coordinator =
         coordinators_.home_of(partition_of(request.program.str()), clock_());
-    if (home == nullptr)
+    if (coordinator == nullptr)
     {
         admit_locally(
             request,
-            coordinators_.knows_nodes() ? account_role::home
+            coordinators_.knows_nodes() ? account_role::coordinator
                                         : account_role::unknown,
             answer);
         return;
@@ -162,8 +163,8 @@
         request.program,
         request.most_tokens,
         incarnation_ + "/" + std::to_string(++last_turn_),
-        home->node,
-        home->address,
+        coordinator->node,
+        coordinator->address,
         {}};
     request_from_coordinator(
         request, requested, max_admission_requests, answer);
@@ -201,13 +202,13 @@
             }
             if (body.is_object() && answer_text != pending_answer)
             {
-                coordinators_.answered(requested.home);
+                coordinators_.answered(requested.coordinator);
                 auto granted = requested;
-                granted.places = cache_locations_of(body);
+                granted.cache_locations = cache_locations_of(body);
                 answer(answer_of(answer_text), std::move(granted));
                 return;
             }
-            coordinators_.did_not_answer(requested.home, clock_());
+            coordinators_.did_not_answer(requested.coordinator, clock_());
             // The coordinator may have admitted the turn nevertheless.
             if (reply.sent)
                 send_settlement(requested, 0, std::nullopt, 1);
@@ -219,14 +220,14 @@
     grant const& granted, std::uint64_t delivered_tokens,
     std::optional<prompt_place> const& location)
 {
-    if (!granted.home.empty())
+    if (!granted.coordinator.empty())
     {
         send_settlement(
             granted, delivered_tokens, location, max_settlement_attempts);
         return;
     }
     if (location)
-        cache_locations_.note(granted.program, *location);
+        cache_locations_.record_location(granted.program, *location);
     ledger_.settle(granted.program, granted.most_tokens, delivered_tokens);
 }
 
@@ -295,7 +296,7 @@
     if (in_progress)
         return;
     admit_locally(
-        request, account_role::home,
+        request, account_role::coordinator,
         [this, alive = alive_, request,
          turn](admission_answer what, grant const&)
         {
@@ -364,7 +365,7 @@
     json body{{"answer", answer ? to_string(*answer) : pending_answer}};
     if (answer == admission_answer::admitted)
     {
-        for (auto const& location : cache_locations_.of(program))
+        for (auto const& location : cache_locations_.locations_of(program))
             body["places"].push_back(to_json(location));
     }
     auto const bytes = json::to_cbor(body);
@@ -390,7 +391,8 @@
         auto const ended = found->second;
         remote_turns_.erase(found);
         if (auto location = cache_location_of(settlement.value("left", json())))
-            cache_locations_.note(ended.program, std::move(*location));
+            cache_locations_.record_location(
+                ended.program, std::move(*location));
         ledger_.settle(
             ended.program, ended.most_tokens,
             settlement.value("used", ended.most_tokens));
--- a/src/entry/budget_desk.hpp
+++ b/src/entry/budget_desk.hpp
@@ -55,11 +55,11 @@
         /// Unique id of the turn, so that a repeated settlement counts once.
         std::string turn;
         /// Name of the coordinator; empty if the turn is settled at this node.
-        std::string home;
+        std::string coordinator;
         /// IP:PORT of the coordinator.
         std::string coordinator_address;
         /// Prefix cache locations of the program's prompts, the latest last.
-        std::vector<prompt_place> places{};
+        std::vector<prompt_place> cache_locations{};
     };
 
     /// A request to start a turn.
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -94,8 +94,8 @@
 {
     if (done_)
         return;
-    auto const chosen = node_.board.choose(need_);
-    if (!chosen || sends_ >= most_sends)
+    auto const chosen = node_.balancer.choose(need_);
+    if (!chosen || sends_ >= max_sends)
     {
         if (possibly_run_at_.empty())
             refuse(
@@ -107,8 +107,8 @@
     }
     auto const attempt = std::make_shared<engine_attempt>();
     attempt->at = *chosen;
-    attempt->link =
-        node_.links.take(chosen->ref(), chosen->address, connection_limit());
+    attempt->link = node_.links.acquire_link(
+        chosen->ref(), chosen->address, connection_limit());
     if (!attempt->link)
     {
         need_.avoid.push_back(chosen->engine);
@@ -124,11 +124,11 @@
     log_fields_["engine_load_age_ms"] = chosen->load_age.count();
     log_fields_["engine_cached"] = chosen->cached_tokens;
     attempt->sent_at = node_.clock();
-    attempt->heard_at = attempt->sent_at;
-    attempt->patience = stall_patience(
-        chosen->first_bytes, service_->model.has_value(), stalls_,
+    attempt->last_received_at = attempt->sent_at;
+    attempt->silence_timeout = stall_patience(
+        chosen->time_to_first_byte, service_->model.has_value(), stalls_,
         node_.stalls);
-    node_.board.sent(chosen->ref(), need_);
+    node_.balancer.sent(chosen->ref(), need_);
     notify_calls_changed();
     exchange(attempt);
     watch_for_stall(attempt);
@@ -158,10 +158,10 @@
 void call_flow::on_head(
     attempt_ptr const& attempt, platform::response_head const& head)
 {
-    attempt->heard_at = node_.clock();
+    attempt->last_received_at = node_.clock();
     attempt->answer = platform::decode_answer(head);
     if (attempt->answer.load)
-        node_.board.told_load(attempt->at.ref(), *attempt->answer.load);
+        node_.balancer.told_load(attempt->at.ref(), *attempt->answer.load);
     if (attempt->answer.idle_timeout)
         attempt->link->idle_timeout = *attempt->answer.idle_timeout;
     attempt->accepted_by_engine = !attempt->answer.not_run;
@@ -169,7 +169,7 @@
 
 void call_flow::on_body(attempt_ptr const& attempt, std::string_view bytes)
 {
-    attempt->heard_at = node_.clock();
+    attempt->last_received_at = node_.clock();
     auto const streams = route_->streams && attempt->accepted_by_engine &&
                          attempt->answer.status < status_success_end &&
                          attempt->answer.signed_by_engine;
@@ -269,10 +269,10 @@
         need_.output_tokens = static_cast<std::uint32_t>(
             std::max<std::uint64_t>(delivered_tokens_, 1));
     }
-    node_.board.ended(
+    node_.balancer.ended(
         attempt->at.ref(), need_, outcome, node_.clock() - attempt->sent_at);
     notify_calls_changed();
-    node_.links.give_back(attempt->at.ref(), attempt->link);
+    node_.links.release_link(attempt->at.ref(), attempt->link);
 }
 
 void call_flow::refused_by_engine(attempt_ptr const& attempt)
@@ -342,13 +342,14 @@
     // Engines that have ended since don't count.
     auto alive = std::count_if(
         possibly_run_at_.begin(), possibly_run_at_.end(),
-        [this](engine_ref const& engine) { return node_.board.known(engine); });
+        [this](engine_ref const& engine)
+        { return node_.balancer.known(engine); });
     if (!may_have_run(previous))
         ++alive;
     // A past incarnation is not among the service's engines.
-    std::size_t const previous_count = node_.board.known(previous) ? 1 : 0;
+    std::size_t const previous_count = node_.balancer.known(previous) ? 1 : 0;
     return static_cast<std::uint64_t>(alive) < route_->max_engines &&
-           node_.board.engines_of(need_.service) > previous_count;
+           node_.balancer.engines_of(need_.service) > previous_count;
 }
 
 /// Handles an attempt after which the engine may have run the call without
@@ -362,10 +363,10 @@
     if (!may_have_run(engine))
         possibly_run_at_.push_back(engine);
     auto const repeatable =
-        route_->repeats == repeatability::idempotent && sends_ < most_sends;
+        route_->repeats == repeatability::idempotent && sends_ < max_sends;
     if (repeatable && may_run_elsewhere(engine))
     {
-        if (node_.board.known(engine))
+        if (node_.balancer.known(engine))
             need_.avoid.push_back(engine.id);
         try_engine();
         return;
@@ -377,7 +378,7 @@
     }
     // A retry at the same engine doesn't count towards the route's limit of
     // engines.
-    if (repeatable && !complete_failure && node_.board.known(engine))
+    if (repeatable && !complete_failure && node_.balancer.known(engine))
     {
         need_.avoid.clear();
         need_.only = engine.id;
@@ -410,13 +411,13 @@
     }
     // The caller treats the turn as complete once it receives the last chunk,
     // so the turn must be durable before that.
-    kept_turn turn;
+    stored_turn turn;
     turn.id = stored_turn_id_;
     turn.chain = chain_.ids;
     turn.input = request_.body();
     turn.output = std::move(output_);
     auto const began = node_.clock();
-    node_.history.keep(
+    node_.history.store_turn(
         std::move(turn), std::chrono::duration_cast<milliseconds>(time_left()),
         [self = shared_from_this(), began](bool durable)
         {
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -182,7 +182,7 @@
     if (program.finish_in)
         log_fields_["finish_in_ms"] = program.finish_in->count();
     log_fields_["most_tokens"] = max_tokens_;
-    auto const pressure = node_.board.pressure(need_.service);
+    auto const pressure = node_.balancer.pressure(need_.service);
     if (pressure)
         log_fields_["pressure"] = *pressure;
     if (route_->keeps_turns && should_come_back(current_outage()))
@@ -191,7 +191,7 @@
         return;
     }
     auto const now = node_.clock();
-    node_.ranks.seen(route_rank(), now);
+    node_.ranks.record_turn(route_rank(), now);
     auto const less_urgent_in_flight =
         node_.ranks.has_less_urgent(route_rank(), now);
     if (less_urgent_in_flight)
@@ -207,7 +207,7 @@
             admission_answer answer, budget_desk::grant const& grant)
         {
             self->log_fields_["budget"] = to_string(answer);
-            self->log_fields_["budget_home"] = grant.home;
+            self->log_fields_["budget_home"] = grant.coordinator;
             if (answer == admission_answer::admitted)
                 self->budget_granted(grant);
             if (self->done_)
@@ -224,9 +224,9 @@
 void call_flow::budget_granted(budget_desk::grant const& grant)
 {
     grant_ = grant;
-    log_fields_["known_lines"] = grant.places.size();
-    for (auto const& place : grant.places)
-        node_.board.learn(place);
+    log_fields_["known_lines"] = grant.cache_locations.size();
+    for (auto const& place : grant.cache_locations)
+        node_.balancer.add_prefix_location(place);
 }
 
 void call_flow::settle_budget()
@@ -235,7 +235,7 @@
         return;
     auto const location = cached_prefix_location();
     if (location)
-        node_.board.learn(*location);
+        node_.balancer.add_prefix_location(*location);
     node_.budgets.settle(*grant_, delivered_tokens_, location);
     grant_.reset();
 }
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -45,7 +45,7 @@
     boost::asio::io_context& io;
     clock_fn clock;
     random_fn random;
-    engine_board& board;
+    engine_board& balancer;
     engine_links& links;
     budget_desk& budgets;
     turn_history& history;
@@ -107,9 +107,9 @@
         engine_links::link_ptr link;
         time_point sent_at{};
         /// Time of the last bytes received, or of sending if there are none.
-        time_point heard_at{};
+        time_point last_received_at{};
         /// Silence after which the engine counts as stalled.
-        duration patience{0};
+        duration silence_timeout{0};
         engine_answer answer;
         std::string body;
         event_cutter events;
--- a/src/entry/call_identity.cpp
+++ b/src/entry/call_identity.cpp
@@ -128,7 +128,7 @@
         admit();
         return;
     }
-    node_.quotas->take(
+    node_.quotas->acquire(
         call_.owner,
         [self = shared_from_this(), began = node_.clock()](
             quota_answer const& answer, std::string const& coordinator)
@@ -136,7 +136,7 @@
             if (self->done_)
             {
                 if (answer.decision == quota_decision::granted)
-                    self->node_.quotas->give_back(self->call_.owner);
+                    self->node_.quotas->refund(self->call_.owner);
                 return;
             }
             self->log_fields_["quota_ms"] =
@@ -183,7 +183,7 @@
     if (!quota_acquired_)
         return;
     quota_acquired_ = false;
-    node_.quotas->give_back(call_.owner);
+    node_.quotas->refund(call_.owner);
 }
 
 } // namespace walnutmill
--- a/src/entry/call_limits.hpp
+++ b/src/entry/call_limits.hpp
@@ -24,7 +24,7 @@
 /// Maximum number of times that one call is sent to engines, including those
 /// that refuse it, are unreachable or break off. If one in ten engines is
 /// unhealthy, six attempts all fail once in a million calls.
-constexpr int most_sends = 6;
+constexpr int max_sends = 6;
 
 /// Lowest HTTP status of a server error.
 constexpr int status_server_error = 500;
--- a/src/entry/call_stalls.cpp
+++ b/src/entry/call_stalls.cpp
@@ -14,7 +14,8 @@
 {
     if (done_ || one->ended)
         return;
-    stall_timer_.expires_after(one->patience - (node_.clock() - one->heard_at));
+    stall_timer_.expires_after(
+        one->silence_timeout - (node_.clock() - one->last_received_at));
     stall_timer_.async_wait(
         [self = shared_from_this(), one](boost::system::error_code const& error)
         {
@@ -25,12 +26,12 @@
 
 void call_flow::check_progress(attempt_ptr const& one)
 {
-    if (node_.clock() - one->heard_at < one->patience)
+    if (node_.clock() - one->last_received_at < one->silence_timeout)
     {
         watch_for_stall(one);
         return;
     }
-    node_.board.stalled(one->at.ref());
+    node_.balancer.call_stalled(one->at.ref());
     node_.links.drop_idle(one->at.engine);
     auto const retries = may_leave(one);
     note_attempt(one, retries ? "stalled, left" : "stalled, waits on");
@@ -48,7 +49,7 @@
 /// retried.
 bool call_flow::may_leave(attempt_ptr const& one)
 {
-    if (route_->repeats != repeatability::idempotent || sends_ >= most_sends)
+    if (route_->repeats != repeatability::idempotent || sends_ >= max_sends)
         return false;
     // Retrying a queued call at the same engine would only lose its position
     // in the queue.
--- a/src/entry/call_story.cpp
+++ b/src/entry/call_story.cpp
@@ -113,7 +113,7 @@
     return selected;
 }
 
-std::vector<std::string> call_story::tell() const
+std::vector<std::string> call_story::format_lines() const
 {
     std::vector<std::string> formatted;
     auto const found = std::any_of(
--- a/src/entry/call_story.hpp
+++ b/src/entry/call_story.hpp
@@ -27,7 +27,7 @@
 
     /// \return the timeline as one text per event, sorted by time; empty if no
     /// line contains the ID.
-    std::vector<std::string> tell() const;
+    std::vector<std::string> format_lines() const;
 
 private:
     struct event
--- a/src/entry/engine_board.cpp
+++ b/src/entry/engine_board.cpp
@@ -236,7 +236,7 @@
 {
     return record.entry.state == engine_state::ready &&
            record.entry.service == need.service &&
-           !listed(need.avoid, record.entry.id) &&
+           !contains_target(need.avoid, record.entry.id) &&
            (need.only.empty() || need.only == record.entry.id) &&
            (include_ejected || record.ejected_until <= now);
 }
@@ -275,7 +275,7 @@
     auto const call_ms = expected_ms(*best, need, to.cached_tokens, to.load);
     to.wait = std::chrono::milliseconds(
         static_cast<std::int64_t>(wait_ms(*best, to.load, call_ms)));
-    to.first_bytes =
+    to.time_to_first_byte =
         to.wait + std::chrono::milliseconds(static_cast<std::int64_t>(
                       first_bytes_ms(*best, need, to.cached_tokens)));
     if (best->load_reported_at != time_point{})
@@ -298,7 +298,7 @@
         record_cached_part(part, engine.id);
 }
 
-void engine_board::learn(prompt_place const& place)
+void engine_board::add_prefix_location(prompt_place const& place)
 {
     if (find(place.engine) != nullptr)
         record_cached_part({place.part, place.tokens}, place.engine.id);
@@ -381,7 +381,7 @@
     record.slowdown = before + (sample - before) * options_.slowdown_weight;
 }
 
-void engine_board::stalled(engine_ref const& engine)
+void engine_board::call_stalled(engine_ref const& engine)
 {
     if (auto* const found = find(engine))
         add_failure(*found, clock_());
--- a/src/entry/engine_board_parts.cpp
+++ b/src/entry/engine_board_parts.cpp
@@ -126,8 +126,8 @@
 {
     auto const found = shared_prefixes_.find(part);
     return found != shared_prefixes_.end() &&
-           (listed(found->second.engines.local, engine) ||
-            listed(found->second.engines.remote, engine));
+           (contains_target(found->second.engines.local, engine) ||
+            contains_target(found->second.engines.remote, engine));
 }
 
 /// Updates the share of a prompt's shared prefix and the order of its engines.
@@ -317,7 +317,7 @@
         auto const at = std::min(
             from.size() - 1, static_cast<std::size_t>(
                                  random_() * static_cast<double>(from.size())));
-        if (listed(to, from[at]) ||
+        if (contains_target(to, from[at]) ||
             !usable(engines_.at(from[at]), need, now, false))
             continue;
         to.push_back(from[at]);
--- a/src/entry/engine_links.cpp
+++ b/src/entry/engine_links.cpp
@@ -37,10 +37,10 @@
 
 engine_links::~engine_links()
 {
-    end_all();
+    close_all();
 }
 
-void engine_links::end_all()
+void engine_links::close_all()
 {
     auto const all = std::move(engines_);
     engines_.clear();
@@ -53,13 +53,13 @@
     }
 }
 
-engine_links::link_ptr engine_links::take(
+engine_links::link_ptr engine_links::acquire_link(
     engine_ref const& engine, std::string const& address, std::uint32_t limit)
 {
     auto& pool = engines_[engine.id];
     auto const now = clock_type::now();
     if (pool.incarnation != engine.incarnation)
-        restarted(engine.id);
+        close_former_incarnations(engine.id);
     pool.incarnation = engine.incarnation;
     while (!pool.idle.empty())
     {
@@ -81,7 +81,7 @@
     return pool.in_use.back();
 }
 
-void engine_links::give_back(engine_ref const& engine, link_ptr const& link)
+void engine_links::release_link(engine_ref const& engine, link_ptr const& link)
 {
     auto& pool = engines_[engine.id];
     pool.in_use.erase(
@@ -110,7 +110,7 @@
     found->second.idle.clear();
 }
 
-void engine_links::restarted(target_name const& engine)
+void engine_links::close_former_incarnations(target_name const& engine)
 {
     drop_idle(engine);
     auto const found = engines_.find(engine);
--- a/src/entry/engine_links.hpp
+++ b/src/entry/engine_links.hpp
@@ -38,13 +38,13 @@
     /// \return an idle connection, a new one, or null if the address is invalid
     /// or this node already uses its share of the engine's connections.
     /// \param limit connections this node may have to the engine
-    link_ptr take(
+    link_ptr acquire_link(
         engine_ref const& engine, std::string const& address,
         std::uint32_t limit);
 
     /// Returns a connection after its exchange; keeps it if it is reusable and
     /// closes it otherwise.
-    void give_back(engine_ref const& engine, link_ptr const& link);
+    void release_link(engine_ref const& engine, link_ptr const& link);
 
     /// \return true if a usable idle connection to the engine exists.
     bool has_idle(target_name const& engine) const;
@@ -57,12 +57,12 @@
     /// them end as broken at once instead of waiting for the callers' timeouts,
     /// because an engine that crashed behind a partition never resets its
     /// connections.
-    void restarted(target_name const& engine);
+    void close_former_incarnations(target_name const& engine);
 
     /// Closes all connections without calling their handlers, when the node has
     /// stopped. A call and its connection own each other, so interrupted calls
     /// would otherwise outlive the node.
-    void end_all();
+    void close_all();
 
     /// Closes the idle connections to engines that are no longer registered,
     /// and those that exceed their idle timeout.
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -84,7 +84,7 @@
 stall_options stall_options_of(entry_settings const& settings)
 {
     stall_options to;
-    to.least = settings.stall_least;
+    to.min_timeout = settings.stall_least;
     return to;
 }
 
@@ -273,7 +273,7 @@
     to.cache_bytes = std::min<std::size_t>(
         to.cache_bytes,
         settings_.memory_mb * bytes_per_mb / cache_memory_divisor);
-    to.later = [this](milliseconds after, std::function<void()> what)
+    to.schedule_after = [this](milliseconds after, std::function<void()> what)
     { call_later(after, std::move(what)); };
     return to;
 }
@@ -313,7 +313,7 @@
     counters_.gauge(
         "walnutmill_engines_known", static_cast<double>(engines.size()));
     for (auto const& one : balancer_.set_engines(engines))
-        links_.restarted(one);
+        links_.close_former_incarnations(one);
 }
 
 void entry_node::set_members(std::vector<entry_member> const& members)
@@ -397,7 +397,7 @@
         line_weight::important, "node.stopped",
         {{"calls_cut", services_.calls_under_way}});
     log_.flush();
-    links_.end_all();
+    links_.close_all();
     return true;
 }
 
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -166,7 +166,7 @@
     call.method = std::string(request.method_string());
     call.target = std::string(request.target());
     call.body = request.body();
-    store_.carry(
+    store_.relay_request(
         call,
         [link](platform::store_reply const& reply)
         {
--- a/src/entry/entry_node_workspaces.cpp
+++ b/src/entry/entry_node_workspaces.cpp
@@ -57,7 +57,7 @@
     quota_exchange::hooks to;
     to.send = [this](std::string const& address, std::string const& bytes)
     { loads_.send_other(address, bytes); };
-    to.later = [this](duration after, std::function<void()> what)
+    to.schedule_after = [this](duration after, std::function<void()> what)
     { call_later(after, std::move(what)); };
     to.limit_of = [this](workspace_name const& owner)
     {
@@ -72,9 +72,12 @@
     };
     // A node that has just started cannot tell a network partition from nodes
     // that are still starting. It assumes that all are reachable.
-    to.reach = [this]
-    { return clock_() - started_ < startup_period ? 1.0 : loads_.reach(); };
-    to.on_change = [this](std::string const& node, bool answers)
+    to.reachable_share = [this]
+    {
+        return clock_() - started_ < startup_period ? 1.0
+                                                    : loads_.reachable_share();
+    };
+    to.on_reachability_change = [this](std::string const& node, bool answers)
     {
         log_.write(
             line_weight::important,
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -34,7 +34,7 @@
     std::uint32_t revoke_within_ms = 0;
     double quota_window_s = 0;
     std::uint32_t stall_least_ms =
-        static_cast<std::uint32_t>(stall_options().least.count());
+        static_cast<std::uint32_t>(stall_options().min_timeout.count());
 };
 
 po::options_description describe_options(parsed_settings& parsed_values)
@@ -69,7 +69,7 @@
         "bound)");
     add("quota-window-s", po::value(&parsed_values.quota_window_s),
         "window over which workspaces' limits are judged (0: not judged)");
-    add("quota-over", po::value(&to.quota.over),
+    add("quota-over", po::value(&to.quota.excess_fraction),
         "part of a limit by which all nodes together may exceed it");
     add("quota-slack", po::value(&to.quota.slack),
         "requests by which they may exceed it besides");
@@ -154,7 +154,7 @@
         problems.add("stall-least-ms", "must be 200 at least");
     if (!(parsed_values.quota_window_s >= 0))
         problems.add("quota-window-s", "must not be below 0");
-    if (!(to.quota.over >= 0))
+    if (!(to.quota.excess_fraction >= 0))
         problems.add("quota-over", "must not be below 0");
     if (!(to.quota.slack >= 0))
         problems.add("quota-slack", "must not be below 0");
--- a/src/entry/history_exchange.cpp
+++ b/src/entry/history_exchange.cpp
@@ -19,7 +19,7 @@
 constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
 
-json encode_turns(std::vector<std::shared_ptr<kept_turn const>> const& turns)
+json encode_turns(std::vector<std::shared_ptr<stored_turn const>> const& turns)
 {
     auto result = json::array();
     for (auto const& one : turns)
@@ -34,10 +34,10 @@
 }
 
 /// \return the valid turns. Invalid ones are skipped and read from the store.
-std::vector<std::shared_ptr<kept_turn const>>
+std::vector<std::shared_ptr<stored_turn const>>
 decode_turns(std::string_view bytes)
 {
-    std::vector<std::shared_ptr<kept_turn const>> result;
+    std::vector<std::shared_ptr<stored_turn const>> result;
     auto const body = json::from_cbor(bytes, true, false);
     if (!body.is_array())
         return result;
--- a/src/entry/history_exchange.hpp
+++ b/src/entry/history_exchange.hpp
@@ -71,7 +71,7 @@
         std::function<void(int, std::string)> const& reply);
 
 private:
-    using turns_type = std::vector<std::shared_ptr<kept_turn const>>;
+    using turns_type = std::vector<std::shared_ptr<stored_turn const>>;
 
     void request_chain(
         std::string const& group, request_id const& last,
--- a/src/entry/load_exchange.cpp
+++ b/src/entry/load_exchange.cpp
@@ -100,7 +100,7 @@
     coordinators_.set_nodes(std::move(others));
 }
 
-double load_exchange::reach() const
+double load_exchange::reachable_share() const
 {
     auto const known = static_cast<double>(known_nodes_);
     auto const heard = clock_() - sum_requested_at_ <= max_reachable_share_age
@@ -289,7 +289,7 @@
             handle_other_datagram(bytes);
         return;
     }
-    if (message->asks)
+    if (message->is_report)
     {
         answer(*message);
         return;
--- a/src/entry/load_exchange.hpp
+++ b/src/entry/load_exchange.hpp
@@ -68,7 +68,7 @@
     /// \return the share of all nodes, 0 to 1, whose reports are in the latest
     /// sum known to this node. Only this node counts once that sum is older
     /// than 600 ms.
-    double reach() const;
+    double reachable_share() const;
     /// Schedules a report of this node's calls after one began or ended.
     void calls_changed();
 
--- a/src/entry/load_summary.cpp
+++ b/src/entry/load_summary.cpp
@@ -72,11 +72,11 @@
 }
 
 std::string encode_message(
-    bool asks, std::string_view node, std::uint64_t number,
+    bool is_report, std::string_view node, std::uint64_t number,
     std::string_view report)
 {
     std::string encoded(1, array_of_seven);
-    append_cbor(asks, encoded);
+    append_cbor(is_report, encoded);
     append_cbor(node, encoded);
     append_cbor(number, encoded);
     return encoded.append(report);
@@ -85,7 +85,8 @@
 std::string encode(load_message const& message)
 {
     return encode_message(
-        message.asks, message.node, message.number, encode(message.report));
+        message.is_report, message.node, message.number,
+        encode(message.report));
 }
 
 std::optional<load_message> decode_load_message(std::string_view bytes)
@@ -96,7 +97,7 @@
     {
         auto const body = json::from_cbor(bytes.begin(), bytes.end());
         load_message message;
-        message.asks = body.at(0).get<bool>();
+        message.is_report = body.at(0).get<bool>();
         message.node = body.at(1).get<std::string>();
         message.number = body.at(2).get<std::uint64_t>();
         auto const& counts = body.at(3);
--- a/src/entry/load_summary.hpp
+++ b/src/entry/load_summary.hpp
@@ -65,7 +65,7 @@
 {
     /// True in a report to the load aggregator, false in its answer with the
     /// sum.
-    bool asks = false;
+    bool is_report = false;
     std::string node;
     /// Request number chosen by the sender and repeated in the answer.
     std::uint64_t number = 0;
@@ -77,7 +77,7 @@
 std::string encode(load_report const& report);
 /// Encodes a message that contains an encoded report.
 std::string encode_message(
-    bool asks, std::string_view node, std::uint64_t number,
+    bool is_report, std::string_view node, std::uint64_t number,
     std::string_view report);
 /// \return empty if the bytes are not a load message.
 std::optional<load_message> decode_load_message(std::string_view bytes);
--- a/src/entry/program_ledger.cpp
+++ b/src/entry/program_ledger.cpp
@@ -92,7 +92,7 @@
         update_account(program, state);
 }
 
-bool program_ledger::knows(program_id const& program) const
+bool program_ledger::is_tracking(program_id const& program) const
 {
     return programs_.count(program) > 0;
 }
@@ -154,7 +154,7 @@
             break;
         wanted += one.most_tokens;
     }
-    if (state.releasing || state.role != account_role::home ||
+    if (state.releasing || state.role != account_role::coordinator ||
         taken >= state.budget)
         return wanted;
     auto const ahead = static_cast<std::uint64_t>(
@@ -234,7 +234,7 @@
         [this](auto const& one)
         {
             return one.first != self_ && one.second.tokens > 0 &&
-                   leases_->lives(one.first);
+                   leases_->is_incarnation_alive(one.first);
         });
 }
 
@@ -286,7 +286,7 @@
     {
         auto const at = address(program);
         if (leases_ != nullptr && sent.base_version == 0)
-            leases_->held_at(at.partition, sent.lease_version, asked_at);
+            leases_->confirm_held(at.partition, sent.lease_version, asked_at);
         stored_row const row{at, encode(account), result.version};
         update_from_row(program, state, &row);
         state.attempts = 0;
@@ -336,7 +336,7 @@
                            state.version == 0 && leases_->may_start(program);
     if (may_start)
     {
-        leases_->started(program);
+        leases_->record_started(program);
         state.reserved =
             std::max(state.reserved, start_allowance(state.budget));
         answer_decided_turns(state);
@@ -447,7 +447,7 @@
 {
     if (state.role == account_role::fallback)
         return true;
-    auto const keeps_reservation = state.role == account_role::home &&
+    auto const keeps_reservation = state.role == account_role::coordinator &&
                                    options_.is_home &&
                                    options_.is_home(program);
     if (!keeps_reservation)
--- a/src/entry/prompt_places.cpp
+++ b/src/entry/prompt_places.cpp
@@ -12,7 +12,8 @@
 {
 }
 
-void prompt_places::note(program_id const& program, prompt_place new_location)
+void prompt_places::record_location(
+    program_id const& program, prompt_place new_location)
 {
     if (programs_.count(program) == 0 &&
         programs_.size() >= options_.max_programs)
@@ -31,7 +32,8 @@
     locations.push_back(std::move(new_location));
 }
 
-std::vector<prompt_place> prompt_places::of(program_id const& program) const
+std::vector<prompt_place>
+prompt_places::locations_of(program_id const& program) const
 {
     auto const found = programs_.find(program);
     return found == programs_.end() ? std::vector<prompt_place>()
--- a/src/entry/prompt_places.hpp
+++ b/src/entry/prompt_places.hpp
@@ -47,11 +47,11 @@
 
     /// Records the engine that has cached the prompt of a completed turn.
     /// Ignored for a new program if the maximum number is reached.
-    void note(program_id const& program, prompt_place place);
+    void record_location(program_id const& program, prompt_place place);
 
     /// \return the locations of the program, most recent last; empty if none
     /// are known.
-    std::vector<prompt_place> of(program_id const& program) const;
+    std::vector<prompt_place> locations_of(program_id const& program) const;
 
     /// Removes programs without a turn within the retention time.
     void sweep();
--- a/src/entry/quota.cpp
+++ b/src/entry/quota.cpp
@@ -45,7 +45,8 @@
 double initial_tokens(rate_limit const& limit, quota_bounds const& bounds)
 {
     auto const window = limit.per_second * to_seconds(bounds.window);
-    auto const excess = (window + limit.burst) * bounds.over + bounds.slack;
+    auto const excess =
+        (window + limit.burst) * bounds.excess_fraction + bounds.slack;
     return std::min(
         std::max(limit.burst, 1.0),
         std::max(excess * initial_excess_fraction, 1.0));
@@ -92,7 +93,7 @@
     return entry;
 }
 
-quota_answer quota_coordinator::take(
+quota_answer quota_coordinator::acquire(
     quota_request const& request, time_point now, double share)
 {
     if (request.limit.unlimited())
@@ -146,7 +147,7 @@
     }
 }
 
-void quota_coordinator::give_back(workspace_name const& owner)
+void quota_coordinator::refund(workspace_name const& owner)
 {
     auto const found = buckets_.find(owner);
     if (found == buckets_.end())
--- a/src/entry/quota_exchange.cpp
+++ b/src/entry/quota_exchange.cpp
@@ -74,15 +74,15 @@
     return placement_.is_first(group_key(owner));
 }
 
-quota_message quota_exchange::make_message(quota_verb verb) const
+quota_message quota_exchange::make_message(quota_verb type) const
 {
     quota_message message;
-    message.verb = verb;
+    message.type = type;
     message.node = self_;
     return message;
 }
 
-void quota_exchange::take(workspace_name const& owner, answer_fn done)
+void quota_exchange::acquire(workspace_name const& owner, answer_fn done)
 {
     auto const known = hooks_.limit_of(owner);
     if (!known.limit || known.limit->unlimited())
@@ -133,7 +133,7 @@
         return undecided();
     auto request = message.request;
     request.limit = newer_limit(message);
-    return coordinator_.take(request, clock_(), hooks_.reach());
+    return coordinator_.acquire(request, clock_(), hooks_.reachable_share());
 }
 
 /// \return the limit from the newer of the sender's and this node's
@@ -159,7 +159,7 @@
 {
     if (timeout > options_.resend_after)
     {
-        hooks_.later(
+        hooks_.schedule_after(
             options_.resend_after,
             [this, is_alive = alive_, request_id]
             {
@@ -167,7 +167,7 @@
                     send_request(request_id);
             });
     }
-    hooks_.later(
+    hooks_.schedule_after(
         timeout,
         [this, is_alive = alive_, request_id]
         {
@@ -192,8 +192,8 @@
 {
     placement_.did_not_answer(node.node, clock_());
     auto const is_new = unreachable_.emplace(node.node, node.address).second;
-    if (is_new && hooks_.on_change)
-        hooks_.on_change(node.node, false);
+    if (is_new && hooks_.on_reachability_change)
+        hooks_.on_reachability_change(node.node, false);
 }
 
 void quota_exchange::mark_reachable(std::string const& node)
@@ -201,19 +201,19 @@
     if (unreachable_.erase(node) == 0)
         return;
     placement_.answered(node);
-    if (hooks_.on_change)
-        hooks_.on_change(node, true);
+    if (hooks_.on_reachability_change)
+        hooks_.on_reachability_change(node, true);
 }
 
-void quota_exchange::give_back(workspace_name const& owner)
+void quota_exchange::refund(workspace_name const& owner)
 {
     auto const* coordinator = placement_.home_of(group_key(owner), clock_());
     if (coordinator == nullptr)
     {
-        coordinator_.give_back(owner);
+        coordinator_.refund(owner);
         return;
     }
-    auto message = make_message(quota_verb::give_back);
+    auto message = make_message(quota_verb::refund);
     message.request.owner = owner;
     hooks_.send(coordinator->address, encode(message));
 }
@@ -224,7 +224,7 @@
     auto const message = decode_quota_message(bytes);
     if (!message)
         return false;
-    switch (message->verb)
+    switch (message->type)
     {
     case quota_verb::request_token:
     {
@@ -245,8 +245,8 @@
     case quota_verb::answer:
         handle_answer(*message);
         break;
-    case quota_verb::give_back:
-        coordinator_.give_back(message->request.owner);
+    case quota_verb::refund:
+        coordinator_.refund(message->request.owner);
         break;
     case quota_verb::ping:
         // A node that does not know the members yet can't be a coordinator.
@@ -282,7 +282,7 @@
     coordinator_.erase_if(
         [this, now](workspace_name const& owner)
         { return placement_.home_of(group_key(owner), now) != nullptr; });
-    coordinator_.tick(now, hooks_.reach());
+    coordinator_.tick(now, hooks_.reachable_share());
     if (unreachable_.empty() || now - last_ping_ < options_.ping_interval)
         return;
     last_ping_ = now;
--- a/src/entry/quota_exchange.hpp
+++ b/src/entry/quota_exchange.hpp
@@ -74,14 +74,15 @@
         /// Sends a datagram to IP:PORT; delivery is not guaranteed.
         std::function<void(std::string const& address, std::string bytes)> send;
         /// Runs the function after the given delay.
-        std::function<void(duration after, std::function<void()>)> later;
+        std::function<void(duration after, std::function<void()>)>
+            schedule_after;
         std::function<known_limit(workspace_name const&)> limit_of;
         /// \return the reachable share of members, 0 to 1.
-        std::function<double()> reach;
+        std::function<double()> reachable_share;
         /// Called when a coordinator becomes unreachable or reachable again;
         /// may be null.
         std::function<void(std::string const& node, bool reachable)>
-            on_change{};
+            on_reachability_change{};
     };
 
     /// \param coordinator the node that decided; empty: this node
@@ -106,10 +107,10 @@
 
     /// Requests a token for one request of the workspace.
     /// \param done called exactly once, possibly before this returns
-    void take(workspace_name const& owner, answer_fn done);
+    void acquire(workspace_name const& owner, answer_fn done);
 
     /// Returns the token of a granted request that never reached an engine.
-    void give_back(workspace_name const& owner);
+    void refund(workspace_name const& owner);
 
     /// Processes a received datagram.
     /// \param reply sends a datagram to its sender
@@ -139,7 +140,7 @@
     void handle_answer(quota_message const& message);
     void mark_unreachable(home_candidate const& node);
     void mark_reachable(std::string const& node);
-    quota_message make_message(quota_verb verb) const;
+    quota_message make_message(quota_verb type) const;
 
     clock_fn clock_;
     std::string self_;
--- a/src/entry/quota_message.hpp
+++ b/src/entry/quota_message.hpp
@@ -21,7 +21,7 @@
     request_token = 1,
     answer = 2,
     /// Returns the token of a granted request that never reached an engine.
-    give_back = 3,
+    refund = 3,
     /// Reachability probe, answered by `pong`.
     ping = 4,
     pong = 5
@@ -29,7 +29,7 @@
 
 struct quota_message
 {
-    quota_verb verb = quota_verb::request_token;
+    quota_verb type = quota_verb::request_token;
     /// Name of the sending node.
     std::string node;
     /// Identifies a rate-limit request of its sender; the answer repeats it.
--- a/src/entry/row_sweeper.cpp
+++ b/src/entry/row_sweeper.cpp
@@ -154,7 +154,7 @@
         if (!head)
             return std::nullopt;
         row_age age{head->written_at, {}};
-        for (std::size_t i = 1; i < head->pieces; ++i)
+        for (std::size_t i = 1; i < head->chunk_count; ++i)
         {
             auto at = row.at;
             at.key = turn_history::piece_key(request_id(row.at.key), i);
--- a/src/entry/stall_policy.cpp
+++ b/src/entry/stall_policy.cpp
@@ -13,7 +13,7 @@
     auto const factor = is_turn ? options.turn_factor : options.plain_factor;
     auto const scaled = duration(static_cast<duration::rep>(
         static_cast<double>(std::max(expected, duration(0)).count()) * factor));
-    return (options.least + scaled) *
+    return (options.min_timeout + scaled) *
            (1 << std::clamp(stalls, 0, max_doublings));
 }
 
--- a/src/entry/start_gate.cpp
+++ b/src/entry/start_gate.cpp
@@ -33,7 +33,7 @@
         1.0);
 }
 
-void ranks_under_way::seen(std::uint32_t rank, time_point now)
+void ranks_under_way::record_turn(std::uint32_t rank, time_point now)
 {
     last_seen_[std::min<std::size_t>(rank, ranks - 1)] = now;
 }
--- a/src/entry/start_gate.hpp
+++ b/src/entry/start_gate.hpp
@@ -67,7 +67,7 @@
 {
 public:
     /// Records that a turn of a program with this rank arrived.
-    void seen(std::uint32_t rank, time_point now);
+    void record_turn(std::uint32_t rank, time_point now);
     /// \return true if a less urgent rank was recorded recently.
     bool has_less_urgent(std::uint32_t rank, time_point now) const;
 
--- a/src/entry/start_lease.cpp
+++ b/src/entry/start_lease.cpp
@@ -364,7 +364,7 @@
     }
 }
 
-bool start_leases::lives(std::string const& incarnation) const
+bool start_leases::is_incarnation_alive(std::string const& incarnation) const
 {
     return incarnation == self_ || hooks_.is_alive(incarnation);
 }
@@ -375,7 +375,7 @@
     return usable(state) && state.accounts.count(program) == 0;
 }
 
-void start_leases::started(program_id const& program)
+void start_leases::record_started(program_id const& program)
 {
     auto const partition = partition_of(program.str());
     if (partitions_.at(partition).started_programs.insert(program).second)
@@ -391,7 +391,7 @@
     state.started_programs.erase(program);
 }
 
-void start_leases::held_at(
+void start_leases::confirm_held(
     std::string const& partition, std::uint64_t version,
     time_point requested_at)
 {
--- a/src/entry/store_client.cpp
+++ b/src/entry/store_client.cpp
@@ -436,7 +436,7 @@
         static_cast<double>(delay.count()) * jitter)));
 }
 
-void store_client::carry(
+void store_client::relay_request(
     platform::store_request const& request, reply_fn const& to)
 {
     if (!paths_.direct_available(now()))
--- a/src/entry/store_client.hpp
+++ b/src/entry/store_client.hpp
@@ -75,7 +75,8 @@
     /// Relays a call of another node over the direct path only.
     /// \param to receives the reply; status 503 if the store was not reached,
     /// status 0 if the call was sent but not answered
-    void carry(platform::store_request const& request, reply_fn const& to);
+    void
+    relay_request(platform::store_request const& request, reply_fn const& to);
 
     /// \return for how long the store has been unreachable; zero while it is
     /// reachable.
--- a/src/entry/target_list.hpp
+++ b/src/entry/target_list.hpp
@@ -13,7 +13,8 @@
 {
 
 /// \return true if the list holds the target. Linear search.
-inline bool listed(std::vector<target_name> const& list, target_name const& one)
+inline bool
+contains_target(std::vector<target_name> const& list, target_name const& one)
 {
     return std::find(list.begin(), list.end(), one) != list.end();
 }
--- a/src/entry/turn_history.cpp
+++ b/src/entry/turn_history.cpp
@@ -28,19 +28,19 @@
 /// Splits a turn into rows, last chunk first. The row of the first chunk begins
 /// with the header, which contains the number of rows.
 std::vector<row_value> make_rows(
-    kept_turn const& turn, std::size_t candidate, std::size_t row_bytes,
+    stored_turn const& turn, std::size_t candidate, std::size_t row_bytes,
     std::int64_t written_at)
 {
     auto const bytes = encode(turn);
-    auto const pieces =
+    auto const chunk_count =
         std::max<std::size_t>(1, (bytes.size() + row_bytes - 1) / row_bytes);
     std::vector<row_value> rows;
-    for (std::size_t i = pieces; i-- > 0;)
+    for (std::size_t i = chunk_count; i-- > 0;)
     {
         auto value = bytes.substr(i * row_bytes, row_bytes);
         if (i == 0)
         {
-            value.insert(0, encode_turn_head(pieces, written_at));
+            value.insert(0, encode_turn_head(chunk_count, written_at));
         }
         rows.push_back(
             {chunk_address(turn.id, candidate, i), std::move(value)});
@@ -291,8 +291,8 @@
         if (head)
         {
             fetch_chunks(
-                lookup->id, candidate, value.substr(head->size), head->pieces,
-                lookup->done);
+                lookup->id, candidate, value.substr(head->size),
+                head->chunk_count, lookup->done);
         }
         else
         {
@@ -322,7 +322,7 @@
 
 void turn_history::fetch_chunks(
     request_id const& id, std::size_t candidate, std::string first_chunk,
-    std::size_t pieces, turn_fn const& done)
+    std::size_t chunk_count, turn_fn const& done)
 {
     struct chunk_set
     {
@@ -331,7 +331,7 @@
         bool failed = false;
     };
     auto const all = std::make_shared<chunk_set>();
-    all->chunks.resize(std::max<std::size_t>(pieces, 1));
+    all->chunks.resize(std::max<std::size_t>(chunk_count, 1));
     all->chunks[0] = std::move(first_chunk);
     auto const on_chunk_read = [this, all, id, done]
     {
@@ -347,7 +347,7 @@
             turn ? history_answer::found : history_answer::store_unavailable,
             turn);
     };
-    for (std::size_t i = 1; i < pieces; ++i)
+    for (std::size_t i = 1; i < chunk_count; ++i)
     {
         ++all->missing;
         auto const at = chunk_address(id, candidate, i);
@@ -370,12 +370,12 @@
     return !store_.answers || store_.answers(partition(id, candidate));
 }
 
-void turn_history::keep(
-    kept_turn turn, std::chrono::milliseconds timeout, stored_fn done,
+void turn_history::store_turn(
+    stored_turn turn, std::chrono::milliseconds timeout, stored_fn done,
     std::string const& group)
 {
     auto const write = std::make_shared<turn_write>();
-    write->turn = std::make_shared<kept_turn const>(std::move(turn));
+    write->turn = std::make_shared<stored_turn const>(std::move(turn));
     write->group = group;
     write->done = std::move(done);
     write->timeout = timeout;
@@ -406,9 +406,10 @@
 /// the former is unresponsive and the latter responds.
 void turn_history::schedule_fallback(turn_write_ptr const& write)
 {
-    if (!options_.later || write->candidates_tried >= partition_candidates)
+    if (!options_.schedule_after ||
+        write->candidates_tried >= partition_candidates)
         return;
-    options_.later(
+    options_.schedule_after(
         options_.fallback_check_interval,
         [this, alive = alive_, write]
         {
--- a/src/entry/turn_record.cpp
+++ b/src/entry/turn_record.cpp
@@ -36,14 +36,14 @@
 
 } // namespace
 
-std::size_t kept_turn::bytes() const
+std::size_t stored_turn::bytes() const
 {
     constexpr std::size_t id_bytes = 48;
     return turn_overhead_bytes + chain.size() * id_bytes + input.size() +
            output.size();
 }
 
-std::string encode(kept_turn const& turn)
+std::string encode(stored_turn const& turn)
 {
     json chain = json::array();
     for (auto const& id : turn.chain)
@@ -55,13 +55,13 @@
     return {bytes.begin(), bytes.end()};
 }
 
-std::shared_ptr<kept_turn const>
+std::shared_ptr<stored_turn const>
 decode_turn(request_id const& id, std::string_view bytes)
 {
     try
     {
         auto const body = json::from_cbor(bytes.begin(), bytes.end());
-        auto result = std::make_shared<kept_turn>();
+        auto result = std::make_shared<stored_turn>();
         result->id = id;
         for (auto const& one : body.at("chain"))
             result->chain.emplace_back(one.get<std::string>());
@@ -84,15 +84,16 @@
     std::string tag;
     turn_head result;
     if (line.size() == value.size() ||
-        !(in >> tag >> result.pieces >> result.written_at) || tag != header_tag)
+        !(in >> tag >> result.chunk_count >> result.written_at) ||
+        tag != header_tag)
         return std::nullopt;
     result.size = line.size() + 1;
     return result;
 }
 
-std::string encode_turn_head(std::size_t pieces, std::int64_t written_at)
+std::string encode_turn_head(std::size_t chunk_count, std::int64_t written_at)
 {
-    return std::string(header_tag) + " " + std::to_string(pieces) + " " +
+    return std::string(header_tag) + " " + std::to_string(chunk_count) + " " +
            std::to_string(written_at) + "\n";
 }
 
--- a/test/budget_desk-test.cpp
+++ b/test/budget_desk-test.cpp
@@ -31,7 +31,7 @@
     program_ledger coordinator_ledger{
         store.calls(), clock.fn(), "coordinator.1"};
     program_ledger requester_ledger{store.calls(), clock.fn(), "requester.1"};
-    budget_desk home{
+    budget_desk coordinator{
         io,
         coordinator_ledger,
         clock.fn(),
@@ -108,7 +108,7 @@
             ++admissions;
         if (!coordinator_replies)
             return;
-        home.serve(
+        coordinator.serve(
             target, request.body(),
             [link](int status, std::string const& body)
             {
@@ -171,9 +171,9 @@
 {
     auto const [answer, grant] = request_turn(900);
     CHECK(answer == admission_answer::admitted);
-    CHECK(grant.home == "coordinator");
-    CHECK(coordinator_ledger.knows(program));
-    CHECK_FALSE(requester_ledger.knows(program));
+    CHECK(grant.coordinator == "coordinator");
+    CHECK(coordinator_ledger.is_tracking(program));
+    CHECK_FALSE(requester_ledger.is_tracking(program));
     requester.settle(grant, 264);
     run_until([&] { return settlements == 1; });
     // 264 of 900 tokens are spent: one more turn fits, two do not.
@@ -200,8 +200,8 @@
     coordinator_replies = false;
     auto const [answer, grant] = request_turn(900);
     CHECK(answer == admission_answer::admitted);
-    CHECK(grant.home.empty());
-    CHECK(requester_ledger.knows(program));
+    CHECK(grant.coordinator.empty());
+    CHECK(requester_ledger.is_tracking(program));
 }
 
 TEST_CASE_METHOD(
@@ -218,7 +218,7 @@
 {
     REQUIRE(request_turn(900).first == admission_answer::admitted);
     clock.advance(seconds(60));
-    home.tick();
+    coordinator.tick();
     coordinator_ledger.tick();
     store.run();
     CHECK(request_turn(900).first == admission_answer::exhausted);
@@ -242,8 +242,8 @@
     CHECK(grants.empty());
     store_responds = true;
     run_until([&] { return !grants.empty(); });
-    CHECK(grants.front().home == "coordinator");
-    CHECK_FALSE(requester_ledger.knows(program));
+    CHECK(grants.front().coordinator == "coordinator");
+    CHECK_FALSE(requester_ledger.is_tracking(program));
     CHECK(store.commits() == 1);
     patient_requester.settle(grants.front(), 264);
     run_until([&] { return settlements == 1; });
@@ -311,15 +311,15 @@
     "budget desk: the coordinator reports where a prompt is cached")
 {
     auto const first = request_turn(2'600).second;
-    CHECK(first.places.empty());
+    CHECK(first.cache_locations.empty());
     engine_ref const engine(target_name("e1"), engine_incarnation{1'000});
     requester.settle(first, 22, prompt_place{"line", 700, engine});
     run_until([&] { return settlements == 1; });
     auto const second = request_turn(2'600).second;
-    REQUIRE(second.places.size() == 1);
-    CHECK(second.places[0].part == "line");
-    CHECK(second.places[0].tokens == 700);
-    CHECK(second.places[0].engine == engine);
+    REQUIRE(second.cache_locations.size() == 1);
+    CHECK(second.cache_locations[0].part == "line");
+    CHECK(second.cache_locations[0].tokens == 700);
+    CHECK(second.cache_locations[0].engine == engine);
 }
 
 TEST_CASE_METHOD(
@@ -327,7 +327,7 @@
 {
     budget_desk::grant own;
     bool answered = false;
-    home.admit(
+    coordinator.admit(
         {program, 2'600, 572},
         [&](admission_answer, budget_desk::grant grant)
         {
@@ -335,8 +335,8 @@
             answered = true;
         });
     run_until([&] { return answered; });
-    home.settle(own, 22, prompt_place{"line", 700, target_name("e1")});
-    auto const reported = request_turn(2'600).second.places;
+    coordinator.settle(own, 22, prompt_place{"line", 700, target_name("e1")});
+    auto const reported = request_turn(2'600).second.cache_locations;
     REQUIRE(reported.size() == 1);
     CHECK(reported[0].engine == engine_ref(target_name("e1")));
 }
@@ -347,5 +347,5 @@
     auto const first = request_turn(2'600).second;
     requester.settle(first, 0);
     run_until([&] { return settlements == 1; });
-    CHECK(request_turn(2'600).second.places.empty());
+    CHECK(request_turn(2'600).second.cache_locations.empty());
 }
--- a/test/call_story-test.cpp
+++ b/test/call_story-test.cpp
@@ -21,7 +21,7 @@
     std::string all_lines() const
     {
         std::string all;
-        for (auto const& line : trace.tell())
+        for (auto const& line : trace.format_lines())
             all += line + "\n";
         return all;
     }
@@ -33,7 +33,7 @@
     trace_fixture, "story: is empty for an ID that no line contains")
 {
     read(R"({"time_ms":1,"node":"a","event":"call.ended","request":"r2"})");
-    CHECK(trace.tell().empty());
+    CHECK(trace.format_lines().empty());
 }
 
 TEST_CASE_METHOD(
@@ -47,7 +47,7 @@
 {"time_ms":1100,"node":"b","event":"engine.draining","engine":"e2"}
 {"time_ms":1200,"node":"a","event":"store.lost","why":"no answer"}
 {"time_ms":1300,"node":"c","event":"store.lost","why":"no answer"})");
-    auto const lines = trace.tell();
+    auto const lines = trace.format_lines();
     REQUIRE(lines.size() == 4);
     CHECK(lines[0].find("engine.draining engine=e1") != std::string::npos);
     CHECK(lines[1].find("a  store.lost") != std::string::npos);
@@ -60,5 +60,5 @@
     read(
         R"({"time_ms":1000,"node":"a","event":"store.lost","why":"no answer"}
 {"time_ms":90000,"node":"a","event":"call.ended","request":"r1","status":502})");
-    CHECK(trace.tell().size() == 1);
+    CHECK(trace.format_lines().size() == 1);
 }
--- a/test/decoder_fuzz-test.cpp
+++ b/test/decoder_fuzz-test.cpp
@@ -194,7 +194,7 @@
     ask.node = "n1";
     ask.request = {workspace_name("archive"), {3, 9}};
     quota_message answer;
-    answer.verb = quota_verb::answer;
+    answer.type = quota_verb::answer;
     answer.answer = {
         quota_decision::over_limit, std::chrono::milliseconds(120)};
     run_mutated(
@@ -217,7 +217,7 @@
 
 TEST_CASE_METHOD(fuzz_fixture, "fuzz: the nodes' own rows")
 {
-    kept_turn turn;
+    stored_turn turn;
     turn.id = request_id("t1");
     turn.chain = {request_id("t0")};
     turn.input = "in";
--- a/test/engine_board-test.cpp
+++ b/test/engine_board-test.cpp
@@ -218,7 +218,7 @@
     };
     auto const before = share_of_e0();
     for (int i = 0; i < 3; ++i)
-        balancer.stalled(target_name("e0"));
+        balancer.call_stalled(target_name("e0"));
     auto const after = share_of_e0();
     clock.advance(seconds(60));
     auto const later = share_of_e0();
@@ -257,9 +257,9 @@
     auto const full = balancer.choose(turn());
     REQUIRE(idle);
     REQUIRE(full);
-    CHECK(idle->first_bytes >= milliseconds(10));
-    CHECK(idle->first_bytes <= milliseconds(60));
-    CHECK(full->first_bytes > full->wait);
+    CHECK(idle->time_to_first_byte >= milliseconds(10));
+    CHECK(idle->time_to_first_byte <= milliseconds(60));
+    CHECK(full->time_to_first_byte > full->wait);
     CHECK(full->wait > milliseconds(100));
 }
 
@@ -288,7 +288,7 @@
     "board: a conversation continues where another node left it")
 {
     start(8, 1);
-    balancer.learn({"own", 1'500, target_name("e5")});
+    balancer.add_prefix_location({"own", 1'500, target_name("e5")});
     auto const chosen = choose_repeatedly(turn(), 100);
     CHECK(chosen.at("e5") >= 90);
 }
@@ -298,11 +298,11 @@
     "board: a cached beginning of a conversation counts its tokens")
 {
     start(8, 1);
-    balancer.learn({"own", 500, target_name("e2")});
+    balancer.add_prefix_location({"own", 500, target_name("e2")});
     auto need = turn();
     need.only = target_name("e2");
     auto const before = balancer.choose(need);
-    balancer.learn({"own", 2'000, target_name("e2")});
+    balancer.add_prefix_location({"own", 2'000, target_name("e2")});
     auto const after = balancer.choose(need);
     REQUIRE(before);
     REQUIRE(after);
@@ -314,7 +314,7 @@
     "board: a sub-agent's first turn goes where its parent's prompt is cached")
 {
     start(8, 1);
-    balancer.learn({"own", 1'500, target_name("e5")});
+    balancer.add_prefix_location({"own", 1'500, target_name("e5")});
     prompt.push_back({"sub-agent", 300});
     CHECK(choose_repeatedly(turn(), 100).at("e5") >= 90);
 }
@@ -330,7 +330,7 @@
     // Long enough for every engine to have read the shared prefix again.
     clock.advance(seconds(3));
     engine_ref const former(target_name("e5"), engine_incarnation{1'000});
-    balancer.learn({"own", 1'500, former});
+    balancer.add_prefix_location({"own", 1'500, former});
     CHECK(balancer.choose(turn())->cached_tokens == 12'600);
     CHECK(choose_repeatedly(turn(), 100)["e5"] < 50);
 }
--- a/test/engine_fleet.cpp
+++ b/test/engine_fleet.cpp
@@ -160,7 +160,7 @@
     auto const& kind = options_.kinds[one->kind];
     auto const at = static_cast<std::size_t>(node_of(*one));
     auto& ranks = ranks_[at];
-    ranks.seen(kind.rank, clock_.now());
+    ranks.record_turn(kind.rank, clock_.now());
     auto const refused =
         options_.use_admission_control &&
         random_() < refusal_chance(
@@ -200,7 +200,7 @@
          options_.shared_tokens},
         {one->conversation, one->own_tokens}};
     for (auto const& location : one->locations)
-        balancer.learn(location);
+        balancer.add_prefix_location(location);
     auto const call = std::make_shared<running_call>();
     call->owner = one;
     call->node = node;
--- a/test/engine_links-test.cpp
+++ b/test/engine_links-test.cpp
@@ -27,7 +27,7 @@
     /// Runs one exchange and sets the idle timeout stated by its answer.
     engine_links::link_ptr exchange(std::optional<milliseconds> stated)
     {
-        auto link = links.take(ref, engine.address(), 4);
+        auto link = links.acquire_link(ref, engine.address(), 4);
         REQUIRE(link);
         bool ended = false;
         http_link::handlers to;
@@ -47,7 +47,7 @@
         }
         REQUIRE(ended);
         link->idle_timeout = stated;
-        links.give_back(ref, link);
+        links.release_link(ref, link);
         return link;
     }
 };
@@ -67,7 +67,7 @@
 {
     auto const first = exchange(std::nullopt);
     CHECK(links.has_idle(ref.id));
-    CHECK(links.take(ref, engine.address(), 4) == first);
+    CHECK(links.acquire_link(ref, engine.address(), 4) == first);
     CHECK_FALSE(links.has_idle(ref.id));
 }
 
@@ -78,7 +78,7 @@
     // A connection is unused for the last 500 ms of its stated timeout.
     auto const first = exchange(milliseconds(500));
     CHECK_FALSE(links.has_idle(ref.id));
-    CHECK(links.take(ref, engine.address(), 4) != first);
+    CHECK(links.acquire_link(ref, engine.address(), 4) != first);
 }
 
 TEST_CASE_METHOD(
--- a/test/load_summary-test.cpp
+++ b/test/load_summary-test.cpp
@@ -74,7 +74,7 @@
         true, "n1", 7, {{{11, 2}, {4'000'000'000U, 9}}, {{11, 250, 40}}}};
     auto const got = decode_load_message(encode(sent));
     REQUIRE(got);
-    CHECK(got->asks);
+    CHECK(got->is_report);
     CHECK(got->node == "n1");
     CHECK(got->number == 7);
     CHECK(got->report.calls == sent.report.calls);
@@ -133,7 +133,7 @@
     auto const got = decode_load_message(
         encode_message(false, "n1", 9, summary.encoded_sum(clock.now())));
     REQUIRE(got);
-    CHECK_FALSE(got->asks);
+    CHECK_FALSE(got->is_report);
     CHECK(got->node == "n1");
     CHECK(got->number == 9);
     CHECK(got->report.calls == engine_counts{{1, 3}});
--- a/test/prompt_places-test.cpp
+++ b/test/prompt_places-test.cpp
@@ -32,7 +32,7 @@
     std::vector<std::string> known_locations(std::string const& id = "p1") const
     {
         std::vector<std::string> to;
-        for (auto const& one : locations.of(program_id(id)))
+        for (auto const& one : locations.locations_of(program_id(id)))
             to.push_back(
                 one.part + ":" + std::to_string(one.tokens) + "@" +
                 one.engine.id.str());
@@ -48,8 +48,8 @@
     locations_fixture,
     "prompt places: a conversation keeps the location of its latest turn")
 {
-    locations.note(program, at("line", 500, "e1"));
-    locations.note(program, at("line", 900, "e2"));
+    locations.record_location(program, at("line", 500, "e1"));
+    locations.record_location(program, at("line", 900, "e2"));
     CHECK(known_locations() == strings{"line:900@e2"});
     CHECK(known_locations("p2").empty());
 }
@@ -58,19 +58,19 @@
     locations_fixture,
     "prompt places: the latest conversations of a program are kept")
 {
-    locations.note(program, at("own", 500, "e1"));
-    locations.note(program, at("first", 100, "e2"));
-    locations.note(program, at("own", 700, "e1"));
-    locations.note(program, at("second", 100, "e3"));
+    locations.record_location(program, at("own", 500, "e1"));
+    locations.record_location(program, at("first", 100, "e2"));
+    locations.record_location(program, at("own", 700, "e1"));
+    locations.record_location(program, at("second", 100, "e3"));
     CHECK(known_locations() == strings{"own:700@e1", "second:100@e3"});
 }
 
 TEST_CASE_METHOD(
     locations_fixture, "prompt places: a program without turns is removed")
 {
-    locations.note(program, at("line", 500, "e1"));
+    locations.record_location(program, at("line", 500, "e1"));
     clock.advance(seconds(4));
-    locations.note(program_id("p2"), at("line", 500, "e1"));
+    locations.record_location(program_id("p2"), at("line", 500, "e1"));
     clock.advance(seconds(2));
     locations.sweep();
     CHECK(known_locations().empty());
@@ -82,10 +82,10 @@
     "prompt places: programs beyond the maximum are not added")
 {
     for (auto const* id : {"p1", "p2", "p3", "p4"})
-        locations.note(program_id(id), at("line", 500, "e1"));
+        locations.record_location(program_id(id), at("line", 500, "e1"));
     CHECK(known_locations("p3").size() == 1);
     CHECK(known_locations("p4").empty());
-    locations.note(program, at("line", 600, "e1"));
+    locations.record_location(program, at("line", 600, "e1"));
     CHECK(known_locations() == strings{"line:600@e1"});
 }
 
@@ -155,8 +155,8 @@
         need.prompt = &prompt;
         if (coordinator_shares)
         {
-            for (auto const& one : locations.of(id))
-                node.learn(one);
+            for (auto const& one : locations.locations_of(id))
+                node.add_prefix_location(one);
         }
         auto const to = node.choose(need);
         REQUIRE(to);
@@ -167,7 +167,7 @@
         cached_tokens = own;
         node.ended(
             to->ref(), need, engine_outcome::answered, milliseconds(240));
-        locations.note(id, {id.str(), own, to->ref()});
+        locations.record_location(id, {id.str(), own, to->ref()});
     }
 
     /// \return the mean number of history tokens that a turn prefills again.
--- a/test/quota-test.cpp
+++ b/test/quota-test.cpp
@@ -26,22 +26,22 @@
     workspace_name owner{"archive"};
     rate_limit limit{10, 10};
 
-    quota_answer take()
+    quota_answer acquire()
     {
-        return coordinator.take({owner, limit}, clock.now());
+        return coordinator.acquire({owner, limit}, clock.now());
     }
 
     int grants_among(int requests)
     {
         int granted = 0;
         for (int i = 0; i < requests; ++i)
-            granted += take().decision == quota_decision::granted ? 1 : 0;
+            granted += acquire().decision == quota_decision::granted ? 1 : 0;
         return granted;
     }
 
     void fill_bucket()
     {
-        take();
+        acquire();
         clock.advance(seconds(10));
     }
 };
@@ -109,20 +109,20 @@
     std::vector<milliseconds> waits;
     waits.reserve(5);
     for (int i = 0; i < 5; ++i)
-        waits.push_back(take().retry_after);
+        waits.push_back(acquire().retry_after);
     CHECK(waits.front() > milliseconds(0));
     CHECK(std::is_sorted(waits.begin(), waits.end()));
     CHECK(std::adjacent_find(waits.begin(), waits.end()) == waits.end());
     // A retry after the given time finds a token.
     clock.advance(waits.front());
-    CHECK(take().decision == quota_decision::granted);
+    CHECK(acquire().decision == quota_decision::granted);
 }
 
 TEST_CASE_METHOD(quota_fixture, "quota: retry after is bounded at a slow rate")
 {
     limit = {0.01, 1};
     grants_among(10);
-    CHECK(take().retry_after <= seconds(5));
+    CHECK(acquire().retry_after <= seconds(5));
 }
 
 TEST_CASE("quota: programs complete at the limit under fivefold demand")
@@ -158,7 +158,7 @@
             if (one.requests_left == 0 || one.refused > 1 || one.next > now)
                 continue;
             auto const answer =
-                coordinator.take({workspace_name("w"), limit}, now);
+                coordinator.acquire({workspace_name("w"), limit}, now);
             if (answer.decision == quota_decision::granted)
             {
                 one.refused = 0;
@@ -199,8 +199,8 @@
 {
     fill_bucket();
     CHECK(grants_among(20) == 10);
-    coordinator.give_back(owner);
-    coordinator.give_back(workspace_name("unknown"));
+    coordinator.refund(owner);
+    coordinator.refund(workspace_name("unknown"));
     CHECK(grants_among(5) == 1);
 }
 
@@ -208,7 +208,7 @@
 {
     for (int i = 0; i < 1'000; ++i)
     {
-        coordinator.take(
+        coordinator.acquire(
             {workspace_name("w" + std::to_string(i)), limit}, clock.now());
     }
     CHECK(coordinator.size() == 100);
@@ -232,7 +232,7 @@
             clock.advance(std::chrono::duration_cast<duration>(
                 std::chrono::duration<double>(pause)));
             auto const now = clock.now();
-            if (random_coordinator.take({owner, limit_under_test}, now)
+            if (random_coordinator.acquire({owner, limit_under_test}, now)
                     .decision == quota_decision::granted)
                 granted.push_back(now);
             while (!granted.empty() && now - granted.front() >= bounds.window)
--- a/test/quota_exchange-test.cpp
+++ b/test/quota_exchange-test.cpp
@@ -221,7 +221,7 @@
 TEST_CASE("quota message: encoding round-trips, invalid bytes are rejected")
 {
     quota_message one;
-    one.verb = quota_verb::answer;
+    one.type = quota_verb::answer;
     one.node = "n1";
     one.request_id = 7;
     one.request = {small, {3.5, 9}};
@@ -231,7 +231,7 @@
     auto const bytes = encode(one);
     auto const got = decode_quota_message(bytes);
     REQUIRE(got);
-    CHECK(got->verb == one.verb);
+    CHECK(got->type == one.type);
     CHECK(got->node == "n1");
     CHECK(got->request_id == 7);
     CHECK(got->request.owner == small);
@@ -246,7 +246,7 @@
     one.request.limit.per_second = -1;
     CHECK_FALSE(decode_quota_message(encode(one)));
     one.request.limit.per_second = 1;
-    one.verb = static_cast<quota_verb>(9);
+    one.type = static_cast<quota_verb>(9);
     CHECK_FALSE(decode_quota_message(encode(one)));
 }
 
@@ -257,7 +257,7 @@
     one.request = {small, {3.5, 9}};
     CHECK_FALSE(decode_load_message(encode(one)));
     load_message report;
-    report.asks = true;
+    report.is_report = true;
     report.node = "n1";
     report.report.nodes = 7;
     auto const bytes = encode(report);
--- a/test/quota_world.cpp
+++ b/test/quota_world.cpp
@@ -45,7 +45,7 @@
     quota_exchange::hooks hooks;
     hooks.send = [this, index](std::string const& address, std::string bytes)
     { send(index, address, std::move(bytes)); };
-    hooks.later =
+    hooks.schedule_after =
         [this, index, generation](duration after, std::function<void()> action)
     {
         schedule_at(
@@ -61,7 +61,7 @@
             known.limit = found->second->spec.limit;
         return known;
     };
-    hooks.reach = [this, index] { return reachable_share_of(index); };
+    hooks.reachable_share = [this, index] { return reachable_share_of(index); };
     state.quotas = std::make_unique<quota_exchange>(
         clock_.fn(), state.name, state.strength, options_.bounds, hooks);
     std::vector<home_candidate> others;
@@ -186,7 +186,7 @@
     if (!serves(index))
         return;
     count_reference_grant(entry);
-    nodes_[index].quotas->take(
+    nodes_[index].quotas->acquire(
         entry.spec.owner,
         [this, &entry](quota_answer const& answer, std::string const&)
         {
@@ -210,7 +210,8 @@
         entry.granted.pop_front();
     auto const seconds = std::chrono::duration<double>(bounds.window).count();
     entry.result.allowed_in_window =
-        (limit.per_second * seconds + limit.burst) * (1 + bounds.over) +
+        (limit.per_second * seconds + limit.burst) *
+            (1 + bounds.excess_fraction) +
         bounds.slack;
     entry.result.max_in_window =
         std::max(entry.result.max_in_window, entry.granted.size());
--- a/test/row_sweeper-test.cpp
+++ b/test/row_sweeper-test.cpp
@@ -25,15 +25,15 @@
     utc_fn utc = [this] { return now; };
     row_sweeper sweeper{store.calls(), utc, swept_tables()};
 
-    void store_turn(std::string const& id, std::size_t bytes)
+    void write_turn(std::string const& id, std::size_t bytes)
     {
         history_options options;
         options.utc = utc;
         turn_history history(store.calls(), options);
-        kept_turn turn;
+        stored_turn turn;
         turn.id = request_id(id);
         turn.input = std::string(bytes, 'x');
-        history.keep(std::move(turn), seconds(1), [](bool) {});
+        history.store_turn(std::move(turn), seconds(1), [](bool) {});
         store.run();
     }
 
@@ -64,7 +64,7 @@
 
 TEST_CASE_METHOD(sweeper_fixture, "sweeper: rows in use are retained")
 {
-    store_turn("t1", 100);
+    write_turn("t1", 100);
     admit_program("p1");
     now += 600;
     CHECK(sweep_all() == 0);
@@ -75,11 +75,11 @@
     sweeper_fixture,
     "sweeper: expired accounts and turns are removed with all pieces")
 {
-    store_turn("t1", 100);
-    store_turn("t2", 200'000);
+    write_turn("t1", 100);
+    write_turn("t2", 200'000);
     admit_program("p1");
     now += 700;
-    store_turn("t3", 100);
+    write_turn("t3", 100);
     CHECK(sweep_all() == 3);
     CHECK(store.rows() == 1);
 }
@@ -100,7 +100,7 @@
     {
         for (auto const fault : all_store_faults)
         {
-            store_turn("t" + std::to_string(step), 100);
+            write_turn("t" + std::to_string(step), 100);
             now += 700;
             store.fail_step(store.steps() + step, fault);
             sweep_all();
--- a/test/stall_policy-test.cpp
+++ b/test/stall_policy-test.cpp
@@ -14,7 +14,7 @@
 
     stall_fixture()
     {
-        options.least = milliseconds(400);
+        options.min_timeout = milliseconds(400);
         options.turn_factor = 4;
         options.plain_factor = 8;
         options.retry_ratio = 0.1;
--- a/test/start_gate-test.cpp
+++ b/test/start_gate-test.cpp
@@ -54,15 +54,15 @@
 {
     manual_clock clock;
     ranks_under_way ranks;
-    ranks.seen(0, clock.now());
+    ranks.record_turn(0, clock.now());
     CHECK_FALSE(ranks.has_less_urgent(0, clock.now()));
-    ranks.seen(1, clock.now());
+    ranks.record_turn(1, clock.now());
     CHECK(ranks.has_less_urgent(0, clock.now()));
     CHECK_FALSE(ranks.has_less_urgent(1, clock.now()));
     clock.advance(std::chrono::seconds(6));
     CHECK_FALSE(ranks.has_less_urgent(0, clock.now()));
     // Ranks above the highest that routes have count as the last one.
-    ranks.seen(400, clock.now());
+    ranks.record_turn(400, clock.now());
     CHECK(ranks.has_less_urgent(8, clock.now()));
     CHECK_FALSE(ranks.has_less_urgent(400, clock.now()));
 }
--- a/test/turn_history-test.cpp
+++ b/test/turn_history-test.cpp
@@ -26,18 +26,18 @@
         return std::make_unique<turn_history>(store.calls());
     }
 
-    bool keep(
+    bool store_turn(
         std::string const& id, std::vector<std::string> const& before,
         std::string input, std::string output)
     {
-        kept_turn turn;
+        stored_turn turn;
         turn.id = request_id(id);
         for (auto const& one : before)
             turn.chain.emplace_back(one);
         turn.input = std::move(input);
         turn.output = std::move(output);
         bool durable = false;
-        node->keep(
+        node->store_turn(
             std::move(turn), seconds(1),
             [&](bool stored) { durable = stored; });
         store.run();
@@ -62,8 +62,8 @@
 TEST_CASE_METHOD(
     history_fixture, "history: a chain is found from the cache without reads")
 {
-    REQUIRE(keep("a", {}, "in1 ", "out1\n"));
-    REQUIRE(keep("b", {"a"}, "in2 ", "out2\n"));
+    REQUIRE(store_turn("a", {}, "in1 ", "out1\n"));
+    REQUIRE(store_turn("b", {"a"}, "in2 ", "out2\n"));
     auto const steps = store.steps();
     auto const [answer, chain] = load("b");
     CHECK(answer == history_answer::found);
@@ -76,9 +76,9 @@
     history_fixture,
     "history: a chain is loaded by a node that has none of it cached")
 {
-    REQUIRE(keep("a", {}, "in1 ", "out1\n"));
-    REQUIRE(keep("b", {"a"}, "in2 ", "out2\n"));
-    REQUIRE(keep("c", {"a", "b"}, "in3 ", "out3\n"));
+    REQUIRE(store_turn("a", {}, "in1 ", "out1\n"));
+    REQUIRE(store_turn("b", {"a"}, "in2 ", "out2\n"));
+    REQUIRE(store_turn("c", {"a", "b"}, "in3 ", "out3\n"));
     node = start();
     auto const [answer, chain] = load("c");
     CHECK(answer == history_answer::found);
@@ -88,9 +88,9 @@
 TEST_CASE_METHOD(
     history_fixture, "history: two turns may continue the same turn")
 {
-    REQUIRE(keep("a", {}, "in1 ", "out1\n"));
-    REQUIRE(keep("b", {"a"}, "left ", "l\n"));
-    REQUIRE(keep("c", {"a"}, "right ", "r\n"));
+    REQUIRE(store_turn("a", {}, "in1 ", "out1\n"));
+    REQUIRE(store_turn("b", {"a"}, "left ", "l\n"));
+    REQUIRE(store_turn("c", {"a"}, "right ", "r\n"));
     node = start();
     CHECK(load("b").second.text == "in1 out1\nleft l\n");
     CHECK(load("c").second.text == "in1 out1\nright r\n");
@@ -100,7 +100,7 @@
     history_fixture, "history: a turn larger than a row is loaded completely")
 {
     std::string const large(1'300'000, 'x');
-    REQUIRE(keep("a", {}, large + "end", "out\n"));
+    REQUIRE(store_turn("a", {}, large + "end", "out\n"));
     CHECK(store.rows() > 20);
     node = start();
     auto const [answer, chain] = load("a");
@@ -126,13 +126,13 @@
     {
         store.fail_step(store.steps() + 1, fault);
         auto const id = "t" + std::to_string(static_cast<int>(fault));
-        CHECK_FALSE(keep(id, {}, "in", "out\n"));
+        CHECK_FALSE(store_turn(id, {}, "in", "out\n"));
     }
 }
 
 TEST_CASE_METHOD(history_fixture, "history: a missing chunk fails the load")
 {
-    REQUIRE(keep("a", {}, std::string(100'000, 'x'), "out\n"));
+    REQUIRE(store_turn("a", {}, std::string(100'000, 'x'), "out\n"));
     for (std::size_t step = 1; step <= 3; ++step)
     {
         node = start();
@@ -148,8 +148,8 @@
     options.cache_bytes = 50'000;
     node = std::make_unique<turn_history>(store.calls(), options);
     for (int i = 0; i < 40; ++i)
-        REQUIRE(
-            keep("t" + std::to_string(i), {}, std::string(4'000, 'x'), "o\n"));
+        REQUIRE(store_turn(
+            "t" + std::to_string(i), {}, std::string(4'000, 'x'), "o\n"));
     CHECK(node->cached_bytes() <= 50'000);
     CHECK(load("t0").first == history_answer::found);
 }
@@ -191,7 +191,7 @@
     void start_node()
     {
         history_options options;
-        options.later =
+        options.schedule_after =
             [this](std::chrono::milliseconds, std::function<void()> what)
         { timers.push_back(std::move(what)); };
         node = std::make_unique<turn_history>(calls(), options);
@@ -205,11 +205,11 @@
     bool store_turn_after_timers(std::string const& id)
     {
         bool durable = false;
-        kept_turn turn;
+        stored_turn turn;
         turn.id = request_id(id);
         turn.input = "in ";
         turn.output = "out\n";
-        node->keep(
+        node->store_turn(
             std::move(turn), seconds(3),
             [&](bool stored) { durable = stored; });
         store.run();
@@ -257,7 +257,7 @@
 {
     start_node();
     bool durable = false;
-    kept_turn turn;
+    stored_turn turn;
     turn.id = request_id("a");
     turn.output = "out\n";
     auto const usual = turn_history::partition(turn.id, 0);
@@ -268,11 +268,11 @@
     { return !reported || partition != usual; };
     unresponsive.insert(usual);
     history_options options;
-    options.later =
+    options.schedule_after =
         [this](std::chrono::milliseconds, std::function<void()> what)
     { timers.push_back(std::move(what)); };
     node = std::make_unique<turn_history>(unresponsive_store, options);
-    node->keep(
+    node->store_turn(
         std::move(turn), seconds(3), [&](bool stored) { durable = stored; });
     store.run();
     CHECK_FALSE(durable);
@@ -297,8 +297,8 @@
     history_fixture,
     "history: a chain cached by a peer takes no read of the store")
 {
-    REQUIRE(keep("a", {}, "in1 ", "out1\n"));
-    REQUIRE(keep("b", {"a"}, "in2 ", "out2\n"));
+    REQUIRE(store_turn("a", {}, "in1 ", "out1\n"));
+    REQUIRE(store_turn("b", {"a"}, "in2 ", "out2\n"));
     auto const peers_turns = node->cached_chain(request_id("b"));
     CHECK(peers_turns.size() == 2);
     node = start();
@@ -334,9 +334,9 @@
     store.fail_step(1, store_fault::lose);
     for (int i = 0; i < 2; ++i)
     {
-        kept_turn turn;
+        stored_turn turn;
         turn.id = request_id("t" + std::to_string(i));
-        node->keep(
+        node->store_turn(
             std::move(turn), seconds(1), [](bool) {}, "program");
         store.run();
         CHECK(announced == i);
