--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -445,7 +445,7 @@
         "walnutmill_attempts_failed_total{outcome=\"" + std::string(outcome) +
         "\"}");
     node_.log.write(
-        line_weight::important, "call.attempt",
+        log_priority::important, "call.attempt",
         {{"request", call_.id.str()},
          {"engine", attempt->at.engine.str()},
          {"started_at_ms", attempt->at.incarnation.started_at_ms},
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -446,7 +446,7 @@
     if (!call_.id.empty())
     {
         node_.log.write(
-            trouble ? line_weight::important : line_weight::routine,
+            trouble ? log_priority::important : log_priority::routine,
             "call.ended", log_fields_);
     }
     node_.counters.count(
--- a/src/entry/engine_roster.cpp
+++ b/src/entry/engine_roster.cpp
@@ -85,7 +85,7 @@
     std::string_view event, engine_entry const& one) const
 {
     log_.write(
-        line_weight::routine, event,
+        log_priority::routine, event,
         {{"engine", one.id.str()},
          {"service", one.service.str()},
          {"address", one.address},
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -84,7 +84,7 @@
 stall_options stall_options_of(entry_settings const& settings)
 {
     stall_options to;
-    to.min_timeout = settings.stall_least;
+    to.min_timeout = settings.min_stall_timeout;
     return to;
 }
 
@@ -133,14 +133,13 @@
     : settings_(std::move(settings)), read_settings_(std::move(read_settings)),
       clock_(steady_now), incarnation_(new_incarnation(settings_.node)),
       log_(
-          settings_.node, clock_, descriptor_sink(STDOUT_FILENO),
-          line_budget()),
+          settings_.node, clock_, descriptor_sink(STDOUT_FILENO), log_limits()),
       store_(
           io_, settings_.store, seeded_random(seed_of(incarnation_)),
           {[this](bool reachable, std::string_view why)
            {
                log_.write(
-                   line_weight::important,
+                   log_priority::important,
                    reachable ? "store.regained" : "store.lost", {{"why", why}});
            },
            [this] { view_.refresh(); }, &counters_}),
@@ -207,7 +206,7 @@
         [this](target_name const& engine, recent_outcomes const& seen)
     {
         log_.write(
-            line_weight::routine, "engine.rests",
+            log_priority::routine, "engine.rests",
             {{"engine", engine.str()},
              {"failed_lately", seen.failed},
              {"answered_lately", seen.answered}});
@@ -232,7 +231,7 @@
     if (error)
     {
         log_.write(
-            line_weight::important, "listen.failed",
+            log_priority::important, "listen.failed",
             {{"address", address}, {"why", error.message()}});
         log_.flush();
     }
@@ -291,7 +290,7 @@
             "walnutmill_lease_events_total{what=\"" + std::string(one.what) +
             "\"}");
         log_.write(
-            line_weight::routine, "lease." + std::string(one.what),
+            log_priority::routine, "lease." + std::string(one.what),
             {{"partition", one.partition},
              {"program", one.program},
              {"row_version", one.version},
@@ -360,7 +359,7 @@
 bool entry_node::run()
 {
     log_.write(
-        line_weight::important, "node.start",
+        log_priority::important, "node.start",
         {{"incarnation", incarnation_},
          {"domain", settings_.domain},
          {"store", settings_.store},
@@ -394,7 +393,7 @@
     sweep_rows();
     io_.run();
     log_.write(
-        line_weight::important, "node.stopped",
+        log_priority::important, "node.stopped",
         {{"calls_cut", services_.calls_under_way}});
     log_.flush();
     links_.close_all();
@@ -452,7 +451,7 @@
                         if (removed > 0)
                         {
                             log_.write(
-                                line_weight::routine, "rows.removed",
+                                log_priority::routine, "rows.removed",
                                 {{"partition", partition}, {"rows", removed}});
                         }
                     });
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -48,7 +48,7 @@
     to.refuse = [this](int status, std::string_view why)
     {
         log_.write(
-            line_weight::important, "request.unreadable",
+            log_priority::important, "request.unreadable",
             {{"status", status}, {"why", why}});
         platform::own_answer answer;
         answer.status = status;
--- a/src/entry/entry_node_stop.cpp
+++ b/src/entry/entry_node_stop.cpp
@@ -60,7 +60,7 @@
     if (!problems.empty())
     {
         log_.write(
-            line_weight::important, "settings.rejected",
+            log_priority::important, "settings.rejected",
             {{"setting", problems.items().front().place},
              {"why", problems.items().front().message}});
         return;
@@ -73,7 +73,7 @@
     quotas_.set_bounds(fresh.quota);
     store_.set_address(fresh.store);
     log_.write(
-        line_weight::important, "settings.reloaded",
+        log_priority::important, "settings.reloaded",
         {{"store", settings_.store}});
 }
 
@@ -84,7 +84,7 @@
     services_.stopping = true;
     stop_began_ = clock_();
     log_.write(
-        line_weight::important, "node.stopping",
+        log_priority::important, "node.stopping",
         {{"calls", services_.calls_under_way},
          {"connections", caller_links_.size()}});
     stop_step();
--- a/src/entry/entry_node_workspaces.cpp
+++ b/src/entry/entry_node_workspaces.cpp
@@ -80,7 +80,7 @@
     to.on_reachability_change = [this](std::string const& node, bool answers)
     {
         log_.write(
-            line_weight::important,
+            log_priority::important,
             answers ? "quota.coordinator_back" : "quota.coordinator_silent",
             {{"coordinator", node}});
     };
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -229,7 +229,7 @@
         std::chrono::milliseconds(parsed_values.revoke_within_ms);
     parsed_values.to.quota.window = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(parsed_values.quota_window_s));
-    parsed_values.to.stall_least =
+    parsed_values.to.min_stall_timeout =
         std::chrono::milliseconds(parsed_values.stall_least_ms);
     parsed_values.to.drain_within =
         std::chrono::milliseconds(parsed_values.drain_ms);
--- a/src/entry/entry_settings.hpp
+++ b/src/entry/entry_settings.hpp
@@ -46,7 +46,7 @@
     /// How far all nodes together may exceed the limit of a workspace.
     quota_bounds quota;
     /// Minimum timeout for an engine that sends nothing during a call.
-    std::chrono::milliseconds stall_least = stall_options().min_timeout;
+    std::chrono::milliseconds min_stall_timeout = stall_options().min_timeout;
     /// Path of the settings file; empty: none.
     std::string file;
 };
--- a/src/entry/line_log.cpp
+++ b/src/entry/line_log.cpp
@@ -26,13 +26,13 @@
 } // namespace
 
 line_log::line_log(
-    std::string node, clock_fn clock, sink_fn sink, line_budget limits)
+    std::string node, clock_fn clock, sink_fn sink, log_limits limits)
     : node_(std::move(node)), clock_(std::move(clock)), sink_(std::move(sink)),
       limits_(limits)
 {
 }
 
-bool line_log::within_rate_limit(line_weight priority)
+bool line_log::within_rate_limit(log_priority priority)
 {
     auto const now = clock_();
     if (now - second_start_ >= std::chrono::seconds(1))
@@ -41,19 +41,19 @@
         routine_this_second_ = 0;
         important_this_second_ = 0;
     }
-    auto& used = priority == line_weight::routine ? routine_this_second_
-                                                  : important_this_second_;
-    auto const limit = priority == line_weight::routine
+    auto& used = priority == log_priority::routine ? routine_this_second_
+                                                   : important_this_second_;
+    auto const limit = priority == log_priority::routine
                            ? limits_.routine_per_s
                            : limits_.important_per_s;
     return used++ < limit;
 }
 
 void line_log::write(
-    line_weight priority, std::string_view event, nlohmann::json const& fields)
+    log_priority priority, std::string_view event, nlohmann::json const& fields)
 {
     // The last quarter of the buffer is reserved for important lines.
-    auto const capacity = priority == line_weight::routine
+    auto const capacity = priority == log_priority::routine
                               ? limits_.buffer_bytes / 4 * 3
                               : limits_.buffer_bytes;
     if (!within_rate_limit(priority) || buffer_.size() >= capacity)
--- a/src/entry/line_log.hpp
+++ b/src/entry/line_log.hpp
@@ -26,14 +26,14 @@
 
 /// Important lines report failures and state changes. They have buffer space
 /// and a rate limit of their own, so that routine lines cannot displace them.
-enum class line_weight
+enum class log_priority
 {
     routine,
     important
 };
 
 /// Bounds on buffer size and line rate.
-struct line_budget
+struct log_limits
 {
     /// Buffer size in bytes: a few seconds of the lines of a busy node.
     std::size_t buffer_bytes = 262'144;
@@ -50,13 +50,12 @@
     /// Writes bytes without blocking. \return the number of bytes written.
     using sink_fn = std::function<std::size_t(std::string_view)>;
 
-    line_log(
-        std::string node, clock_fn clock, sink_fn sink, line_budget limits);
+    line_log(std::string node, clock_fn clock, sink_fn sink, log_limits limits);
 
     /// Adds a line with time, node, event name and fields. Drops and counts it
     /// if a bound is exceeded.
     void write(
-        line_weight priority, std::string_view event,
+        log_priority priority, std::string_view event,
         nlohmann::json const& fields);
 
     /// Passes buffered lines to the sink; to be called a few times per second.
@@ -66,13 +65,13 @@
     std::uint64_t dropped() const { return dropped_; }
 
 private:
-    bool within_rate_limit(line_weight priority);
+    bool within_rate_limit(log_priority priority);
     void report_dropped();
 
     std::string node_;
     clock_fn clock_;
     sink_fn sink_;
-    line_budget limits_;
+    log_limits limits_;
     std::string buffer_;
     time_point second_start_{};
     std::uint32_t routine_this_second_ = 0;
--- a/src/entry/member_roster.cpp
+++ b/src/entry/member_roster.cpp
@@ -89,7 +89,7 @@
 void member_roster::log_missing_strength(entry_member const& one) const
 {
     log_.write(
-        line_weight::important, "member.strength_unstated",
+        log_priority::important, "member.strength_unstated",
         {{"member", one.node}, {"incarnation", one.incarnation}});
 }
 
--- a/src/entry/platform_view.cpp
+++ b/src/entry/platform_view.cpp
@@ -282,7 +282,7 @@
     if (!decoded)
     {
         log_.write(
-            line_weight::important, "configuration.unreadable",
+            log_priority::important, "configuration.unreadable",
             {{"row_version", row->version},
              {"why", problems.items().front().message}});
         return true;
@@ -292,7 +292,7 @@
         return true;
     configuration_version_ = decoded->version;
     log_.write(
-        line_weight::important, "configuration.applied",
+        log_priority::important, "configuration.applied",
         {{"configuration", decoded->version},
          {"row_version", configuration_row_version_},
          {"routes", decoded->routes.size()},
@@ -397,7 +397,7 @@
     {
         auto const& first = problems.items().front();
         log_.write(
-            line_weight::important, "engine.unreadable",
+            log_priority::important, "engine.unreadable",
             {{"place", first.place},
              {"why", first.message},
              {"row_version", row.version},
@@ -523,7 +523,7 @@
     if (!joined.empty() || !left.empty())
     {
         log_.write(
-            line_weight::important, "members.changed",
+            log_priority::important, "members.changed",
             {{"joined", joined}, {"left", left}, {"nodes", names.size()}});
     }
     member_names_ = std::move(names);
@@ -563,7 +563,7 @@
         if (!was_following)
         {
             log_.write(
-                line_weight::routine, "view.follows", {{"reader", peer.node}});
+                log_priority::routine, "view.follows", {{"reader", peer.node}});
         }
         return;
     }
@@ -573,7 +573,7 @@
     if (!was_following)
         return;
     log_.write(
-        line_weight::routine, "view.reads_itself",
+        log_priority::routine, "view.reads_itself",
         {{"reader", peer.node},
          {"why", answer ? "old or unreadable" : "no answer"}});
     read_all();
--- a/test/cluster_view-test.cpp
+++ b/test/cluster_view-test.cpp
@@ -81,7 +81,7 @@
         one.name = name;
         one.log = std::make_unique<line_log>(
             name, now, [](std::string_view bytes) { return bytes.size(); },
-            line_budget());
+            log_limits());
         one.view = std::make_unique<platform_view>(
             io, store_of(one), clock, seeded_random(nodes.size()), *one.log,
             entry_member{name, name, domain, name + ".1", strength}, interval,
--- a/test/entry_world.cpp
+++ b/test/entry_world.cpp
@@ -440,7 +440,7 @@
     settings.listen_metrics = one->metrics.text();
     settings.store = store.address();
     settings.stop_grace = seconds(8);
-    settings.stall_least = stall_least;
+    settings.min_stall_timeout = min_stall_timeout;
     settings.revoke_within = revoke;
     one->process = std::make_unique<entry_node>(
         settings, [settings](findings&) { return settings; });
--- a/test/entry_world.hpp
+++ b/test/entry_world.hpp
@@ -268,7 +268,7 @@
     /// Least stall timeout of nodes started from then on. It exceeds all
     /// deadlines, because the engines of most tests are silent for other
     /// reasons.
-    std::chrono::milliseconds stall_least{20'000};
+    std::chrono::milliseconds min_stall_timeout{20'000};
     /// Time in which nodes started from then on stop accepting a revoked key;
     /// zero sets no bound.
     std::chrono::milliseconds revoke{0};
--- a/test/line_log-test.cpp
+++ b/test/line_log-test.cpp
@@ -18,7 +18,7 @@
     manual_clock clock;
     std::string output;
     bool blocked = false;
-    line_budget limits{4'096, 10, 20};
+    log_limits limits{4'096, 10, 20};
     line_log log{
         "n1", clock.fn(),
         [this](std::string_view bytes) -> std::size_t
@@ -44,7 +44,7 @@
 
 TEST_CASE_METHOD(log_fixture, "log: a line contains node, event and fields")
 {
-    log.write(line_weight::routine, "call.ended", {{"request", "r1"}});
+    log.write(log_priority::routine, "call.ended", {{"request", "r1"}});
     log.flush();
     REQUIRE(lines().size() == 1);
     CHECK(lines()[0]["node"] == "n1");
@@ -57,10 +57,10 @@
     "log: lines over the rate limit are dropped, counted and reported")
 {
     for (int i = 0; i < 30; ++i)
-        log.write(line_weight::routine, "call.ended", {{"i", i}});
+        log.write(log_priority::routine, "call.ended", {{"i", i}});
     CHECK(log.dropped() == 20);
     clock.advance(seconds(2));
-    log.write(line_weight::routine, "call.ended", {{"i", 31}});
+    log.write(log_priority::routine, "call.ended", {{"i", 31}});
     log.flush();
     auto const all = lines();
     CHECK(all.size() == 12);
@@ -75,12 +75,12 @@
     for (int second = 0; second < 40; ++second)
     {
         for (int i = 0; i < 10; ++i)
-            log.write(line_weight::routine, "call.ended", {{"i", i}});
+            log.write(log_priority::routine, "call.ended", {{"i", i}});
         clock.advance(seconds(1));
     }
     auto const dropped = log.dropped();
     CHECK(dropped > 0);
-    log.write(line_weight::important, "store.lost", {{"why", "no answer"}});
+    log.write(log_priority::important, "store.lost", {{"why", "no answer"}});
     CHECK(log.dropped() == dropped);
 }
 
@@ -88,7 +88,7 @@
     log_fixture, "log: bytes that are not UTF-8 do not break a line")
 {
     log.write(
-        line_weight::important, "call.ended",
+        log_priority::important, "call.ended",
         {{"request", std::string("\xff\xfe\n\"")}});
     log.flush();
     CHECK(lines().size() == 1);
--- a/test/stalled_call-test.cpp
+++ b/test/stalled_call-test.cpp
@@ -17,7 +17,7 @@
     /// Requests received by the targets that stall.
     std::atomic<int> requests{0};
 
-    stalled_call_fixture() { stall_least = milliseconds(200); }
+    stalled_call_fixture() { min_stall_timeout = milliseconds(200); }
 
     /// Makes the targets stall on the first request that either of them
     /// receives, after sending the given number of events.
--- a/test/store_return-test.cpp
+++ b/test/store_return-test.cpp
@@ -103,7 +103,7 @@
     manual_clock clock;
     line_log log(
         "n", clock.fn(), [](std::string_view bytes) { return bytes.size(); },
-        line_budget());
+        log_limits());
     platform_view view(
         io, rows.calls(), clock.fn(), seeded_random(1), log,
         {"n", "127.0.0.1:1", "z", "n.1"}, milliseconds(450),
