--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -93,8 +93,10 @@
 /// cannot be read is refused at once.
 versioned_store history_store(store_client& store)
 {
-    auto to = store.calls(store_client::when_lost::fail_at_once);
-    to.commit = store.calls(store_client::when_lost::try_on).commit;
+    auto to = store.calls(store_client::unavailable_policy::fail_fast);
+    to.commit =
+        store.calls(store_client::unavailable_policy::retry_until_timeout)
+            .commit;
     return to;
 }
 
@@ -102,8 +104,10 @@
 /// renew rows of the same partition.
 versioned_store view_store(store_client& store)
 {
-    auto to = store.calls(store_client::when_lost::try_on);
-    to.commit = store.calls(store_client::when_lost::try_once).commit;
+    auto to =
+        store.calls(store_client::unavailable_policy::retry_until_timeout);
+    to.commit =
+        store.calls(store_client::unavailable_policy::single_attempt).commit;
     return to;
 }
 
@@ -148,10 +152,10 @@
           seeded_random(seed_of(incarnation_ + "board"))),
       links_(io_),
       leases_(
-          store_.calls(store_client::when_lost::fail_at_once), clock_,
+          store_.calls(store_client::unavailable_policy::fail_fast), clock_,
           system_utc(), incarnation_, program_ledger::table(), lease_hooks()),
       ledger_(
-          store_.calls(store_client::when_lost::fail_at_once), clock_,
+          store_.calls(store_client::unavailable_policy::fail_fast), clock_,
           incarnation_, options_of_ledger(), &leases_),
       budgets_(
           io_, ledger_, clock_, settings_.node, incarnation_, {},
@@ -163,8 +167,8 @@
           clock_, settings_.node, settings_.capacity_weight, settings_.quota,
           quota_hooks()),
       sweeper_(
-          store_.calls(store_client::when_lost::fail_at_once), system_utc(),
-          swept_tables()),
+          store_.calls(store_client::unavailable_policy::fail_fast),
+          system_utc(), swept_tables()),
       sections_client_(io_),
       services_{
           io_,
--- a/src/entry/store_client.cpp
+++ b/src/entry/store_client.cpp
@@ -91,7 +91,7 @@
     std::string table;
     time_point deadline;
     int attempts = 0;
-    when_lost policy = when_lost::try_on;
+    unavailable_policy policy = unavailable_policy::retry_until_timeout;
     /// An attempt was sent but not answered, so its outcome is unknown.
     bool in_doubt = false;
     bool ended = false;
@@ -124,7 +124,7 @@
     paths_.set_relays(std::move(relays));
 }
 
-versioned_store store_client::calls(when_lost policy)
+versioned_store store_client::calls(unavailable_policy policy)
 {
     versioned_store to;
     to.commit = [this, policy](
@@ -198,7 +198,7 @@
            now() - found->second >= lost_after;
 }
 
-void store_client::start(pending_ptr const& call, when_lost policy)
+void store_client::start(pending_ptr const& call, unavailable_policy policy)
 {
     call->policy = policy;
     // Posted, because the caller's state may be incomplete during its call.
@@ -208,7 +208,7 @@
         {
             if (!*alive)
                 return;
-            if (call->policy == when_lost::fail_at_once &&
+            if (call->policy == unavailable_policy::fail_fast &&
                 lost(call->partition))
                 fail(call);
             else
@@ -237,7 +237,7 @@
     auto const path = paths_.choose(at);
     auto const& address = path.direct() ? address_ : path.relay;
     auto const timeout =
-        call->policy == when_lost::try_once
+        call->policy == unavailable_policy::single_attempt
             ? call->deadline - at
             : std::min(attempt_timeout(*call), call->deadline - at);
     ++call->attempts;
@@ -296,8 +296,9 @@
 {
     // The first attempt over a relay needs no delay.
     auto const at_once = call->attempts == 1 && !paths_.direct_available(now());
-    if ((call->policy == when_lost::try_once && !at_once) ||
-        (call->policy == when_lost::fail_at_once && lost(call->partition)))
+    if ((call->policy == unavailable_policy::single_attempt && !at_once) ||
+        (call->policy == unavailable_policy::fail_fast &&
+         lost(call->partition)))
     {
         fail(call);
         return;
--- a/src/entry/store_client.hpp
+++ b/src/entry/store_client.hpp
@@ -55,22 +55,22 @@
     void set_relays(std::vector<std::string> relays);
 
     /// How a call behaves while the store is unreachable.
-    enum class when_lost
+    enum class unavailable_policy
     {
         /// Retries until the call's timeout.
-        try_on,
+        retry_until_timeout,
         /// Fails at once, so that the caller can be asked to retry later.
-        fail_at_once,
+        fail_fast,
         /// Makes a single attempt that lasts for the call's whole timeout, even
         /// while the store is unreachable. A second attempt follows over a
         /// relay if the direct one failed. Meant for calls that all
         /// nodes make on one partition: their attempts queue there, and retries
         /// would keep the partition saturated.
-        try_once
+        single_attempt
     };
 
     /// \return the store's calls, valid for the lifetime of the client.
-    versioned_store calls(when_lost policy);
+    versioned_store calls(unavailable_policy policy);
 
     /// Relays a call of another node over the direct path only.
     /// \param to receives the reply; status 503 if the store was not reached,
@@ -86,7 +86,7 @@
     struct pending;
     using pending_ptr = std::shared_ptr<pending>;
 
-    void start(pending_ptr const& call, when_lost policy);
+    void start(pending_ptr const& call, unavailable_policy policy);
     bool lost() const;
     bool lost(std::string const& partition) const;
     void send_next_attempt(pending_ptr const& call);
--- a/test/store_return-test.cpp
+++ b/test/store_return-test.cpp
@@ -45,7 +45,7 @@
     {
         auto outcome = store_outcome::done;
         bool ended = false;
-        client.calls(store_client::when_lost::fail_at_once)
+        client.calls(store_client::unavailable_policy::fail_fast)
             .read(
                 {"some", "", "", ""}, seconds(20),
                 [&](range_result const& result)
@@ -79,7 +79,8 @@
     store_client counted(
         io, store.address(), seeded_random(4), {{}, {}, &counters});
     int ended = 0;
-    auto const calls = counted.calls(store_client::when_lost::try_on);
+    auto const calls =
+        counted.calls(store_client::unavailable_policy::retry_until_timeout);
     calls.read(
         {"some", "", "", ""}, seconds(20),
         [&](range_result const&) { ++ended; });
@@ -180,7 +181,7 @@
     row_transaction one;
     one.writes.push_back({{"some", "p1", "k"}, "v"});
     int ended = 0;
-    client.calls(store_client::when_lost::try_once)
+    client.calls(store_client::unavailable_policy::single_attempt)
         .commit(
             one, milliseconds(700),
             [&](transaction_result const& result)
@@ -191,7 +192,7 @@
             });
     REQUIRE(comes_true([&] { return ended == 1; }));
     CHECK(store.transactions_of("p1") == 1);
-    client.calls(store_client::when_lost::try_on)
+    client.calls(store_client::unavailable_policy::retry_until_timeout)
         .commit(
             one, milliseconds(700),
             [&](transaction_result const&) { ++ended; });
