--- a/include/walnutmill/turn_history.hpp
+++ b/include/walnutmill/turn_history.hpp
@@ -55,7 +55,7 @@
 decode_turn(request_id const& id, std::string_view bytes);
 
 /// Header at the start of the first row of a stored turn.
-struct turn_head
+struct turn_header
 {
     /// Number of rows of the turn, including this one.
     std::size_t chunk_count = 1;
@@ -65,9 +65,10 @@
     std::size_t size = 0;
 };
 /// \return the header text for the first row of a turn.
-std::string encode_turn_head(std::size_t chunk_count, std::int64_t written_at);
+std::string
+encode_turn_header(std::size_t chunk_count, std::int64_t written_at);
 /// \return nullopt if the value is not the first row of a turn.
-std::optional<turn_head> decode_turn_head(std::string_view value);
+std::optional<turn_header> decode_turn_header(std::string_view value);
 
 /// Result of a lookup.
 enum class history_answer
@@ -140,7 +141,7 @@
     /// \return the name of the table of turns.
     static char const* table();
     /// \return the key of the row of a chunk; the first chunk is 0.
-    static std::string piece_key(request_id const& id, std::size_t chunk);
+    static std::string chunk_key(request_id const& id, std::size_t chunk);
     /// Number of partitions that may hold a given turn. While 29 of 100
     /// partitions are unavailable, all three candidates are unavailable for
     /// 24 of 1,000 turns. With one candidate it is 290 of 1,000, and each such
--- a/src/entry/row_sweeper.cpp
+++ b/src/entry/row_sweeper.cpp
@@ -150,14 +150,14 @@
     turns.name = turn_history::table();
     turns.age_of = [](stored_row const& row) -> std::optional<row_age>
     {
-        auto const head = decode_turn_head(row.value);
+        auto const head = decode_turn_header(row.value);
         if (!head)
             return std::nullopt;
         row_age age{head->written_at, {}};
         for (std::size_t i = 1; i < head->chunk_count; ++i)
         {
             auto at = row.at;
-            at.key = turn_history::piece_key(request_id(row.at.key), i);
+            at.key = turn_history::chunk_key(request_id(row.at.key), i);
             age.dependent_rows.push_back(std::move(at));
         }
         return age;
--- a/src/entry/turn_history.cpp
+++ b/src/entry/turn_history.cpp
@@ -22,7 +22,7 @@
 {
     return {
         table_name, turn_history::partition(id, candidate),
-        turn_history::piece_key(id, chunk)};
+        turn_history::chunk_key(id, chunk)};
 }
 
 /// Splits a turn into rows, last chunk first. The row of the first chunk begins
@@ -40,7 +40,7 @@
         auto value = bytes.substr(i * row_bytes, row_bytes);
         if (i == 0)
         {
-            value.insert(0, encode_turn_head(chunk_count, written_at));
+            value.insert(0, encode_turn_header(chunk_count, written_at));
         }
         rows.push_back(
             {chunk_address(turn.id, candidate, i), std::move(value)});
@@ -55,7 +55,7 @@
     return table_name;
 }
 
-std::string turn_history::piece_key(request_id const& id, std::size_t chunk)
+std::string turn_history::chunk_key(request_id const& id, std::size_t chunk)
 {
     // Hexadecimal ids contain no slash. A caller whose ids contain one can only
     // cause collisions among its own turns.
@@ -287,7 +287,7 @@
     {
         lookup->finished = true;
         auto const& value = result.rows.front().value;
-        auto const head = decode_turn_head(value);
+        auto const head = decode_turn_header(value);
         if (head)
         {
             fetch_chunks(
--- a/src/entry/turn_record.cpp
+++ b/src/entry/turn_record.cpp
@@ -77,12 +77,12 @@
     }
 }
 
-std::optional<turn_head> decode_turn_head(std::string_view value)
+std::optional<turn_header> decode_turn_header(std::string_view value)
 {
     auto const line = value.substr(0, value.find('\n'));
     std::istringstream in{std::string(line)};
     std::string tag;
-    turn_head result;
+    turn_header result;
     if (line.size() == value.size() ||
         !(in >> tag >> result.chunk_count >> result.written_at) ||
         tag != header_tag)
@@ -91,7 +91,7 @@
     return result;
 }
 
-std::string encode_turn_head(std::size_t chunk_count, std::int64_t written_at)
+std::string encode_turn_header(std::size_t chunk_count, std::int64_t written_at)
 {
     return std::string(header_tag) + " " + std::to_string(chunk_count) + " " +
            std::to_string(written_at) + "\n";
--- a/test/decoder_fuzz-test.cpp
+++ b/test/decoder_fuzz-test.cpp
@@ -235,6 +235,6 @@
             decode_turn(request_id("t1"), bytes);
             decode_account(bytes);
             decode_lease(bytes);
-            decode_turn_head(bytes);
+            decode_turn_header(bytes);
         });
 }
