--- a/include/walnutmill/program_ledger.hpp
+++ b/include/walnutmill/program_ledger.hpp
@@ -122,7 +122,7 @@
     /// spent, while no node knows when a program has ended. Releasing them
     /// costs one of 2.6 writes per program, and a release in progress when the
     /// store fails blocks the program's turns until the store recovers.
-    std::function<bool(program_id const&)> is_home;
+    std::function<bool(program_id const&)> is_coordinator;
     /// Idle time after which a program that started without the store gets its
     /// account. It is longer than the delay before a rejected caller retries
     /// (1.3 s), since the program's turns wait while the write is in progress.
--- a/include/walnutmill/start_lease.hpp
+++ b/include/walnutmill/start_lease.hpp
@@ -128,7 +128,7 @@
     struct hooks
     {
         /// \return true if this node is the coordinator of the partition.
-        std::function<bool(std::string const& partition)> is_home;
+        std::function<bool(std::string const& partition)> is_coordinator;
         /// \return true if that incarnation of a node is alive.
         std::function<bool(std::string const& incarnation)> is_alive;
         std::function<void(lease_event const&)> on_event;
--- a/src/entry/budget_desk.cpp
+++ b/src/entry/budget_service.cpp
@@ -1,4 +1,4 @@
-#include "entry/budget_desk.hpp"
+#include "entry/budget_service.hpp"
 
 #include "entry/partitions.hpp"
 
@@ -102,9 +102,9 @@
 
 } // namespace
 
-budget_desk::budget_desk(
+budget_service::budget_service(
     boost::asio::io_context& io, program_ledger& ledger, clock_fn clock,
-    std::string self, std::string incarnation, desk_options options,
+    std::string self, std::string incarnation, budget_service_options options,
     double own_strength)
     : io_(io), ledger_(ledger), clock_(std::move(clock)), caller_(io),
       coordinators_(std::move(self), coordinator_options_of(own_strength)),
@@ -113,12 +113,12 @@
 {
 }
 
-void budget_desk::set_nodes(std::vector<home_candidate> others)
+void budget_service::set_nodes(std::vector<home_candidate> others)
 {
     coordinators_.set_nodes(std::move(others));
 }
 
-void budget_desk::admit_locally(
+void budget_service::admit_locally(
     admission_request const& request, account_role role, answer_fn answer)
 {
     if (request.only_begun && !ledger_.is_tracking(request.program))
@@ -145,7 +145,7 @@
         request.needs_store, role);
 }
 
-void budget_desk::admit(
+void budget_service::admit(
     admission_request const& request, answer_fn const& answer)
 {
     auto const* coordinator =
@@ -170,7 +170,7 @@
         request, requested, max_admission_requests, answer);
 }
 
-void budget_desk::request_from_coordinator(
+void budget_service::request_from_coordinator(
     admission_request const& request, grant const& requested, int requests_left,
     answer_fn const& answer)
 {
@@ -216,7 +216,7 @@
         });
 }
 
-void budget_desk::settle(
+void budget_service::settle(
     grant const& granted, std::uint64_t delivered_tokens,
     std::optional<prompt_place> const& location)
 {
@@ -231,7 +231,7 @@
     ledger_.settle(granted.program, granted.most_tokens, delivered_tokens);
 }
 
-void budget_desk::send_settlement(
+void budget_service::send_settlement(
     grant const& granted, std::uint64_t delivered_tokens,
     std::optional<prompt_place> const& location, int attempts_left)
 {
@@ -252,17 +252,17 @@
         });
 }
 
-bool budget_desk::is_home_of(std::string const& key) const
+bool budget_service::is_coordinator_of(std::string const& key) const
 {
     return coordinators_.home_of(key, clock_()) == nullptr;
 }
 
-bool budget_desk::is_request(std::string_view target)
+bool budget_service::is_request(std::string_view target)
 {
     return target == admit_path || target == settle_path;
 }
 
-void budget_desk::serve(
+void budget_service::serve(
     std::string_view target, std::string_view body,
     std::function<void(int, std::string)> const& reply)
 {
@@ -274,7 +274,7 @@
         reply(status_not_found, {});
 }
 
-void budget_desk::serve_admission(
+void budget_service::serve_admission(
     std::string_view body, std::function<void(int, std::string)> const& reply)
 {
     auto const message = json::from_cbor(body, true, false);
@@ -306,7 +306,7 @@
 }
 
 /// Replies when the admission is decided, or that it is pending.
-void budget_desk::await_decision(
+void budget_service::await_decision(
     std::string const& turn, program_id const& program, reply_fn reply)
 {
     auto& pending = pending_[turn];
@@ -328,7 +328,7 @@
         });
 }
 
-void budget_desk::on_decided(
+void budget_service::on_decided(
     admission_request const& request, std::string const& turn,
     admission_answer what)
 {
@@ -349,7 +349,7 @@
     reply_to_pending(turn);
 }
 
-void budget_desk::reply_to_pending(std::string const& turn)
+void budget_service::reply_to_pending(std::string const& turn)
 {
     auto const found = pending_.find(turn);
     if (found == pending_.end() || !found->second.reply)
@@ -372,7 +372,7 @@
     reply(status_ok, std::string(bytes.begin(), bytes.end()));
 }
 
-void budget_desk::serve_settlement(
+void budget_service::serve_settlement(
     std::string_view body, std::function<void(int, std::string)> const& reply)
 {
     auto const settlement = json::from_cbor(body, true, false);
@@ -400,7 +400,7 @@
     reply(status_ok, {});
 }
 
-void budget_desk::tick()
+void budget_service::tick()
 {
     auto const now = clock_();
     for (auto it = remote_turns_.begin(); it != remote_turns_.end();)
--- a/src/entry/budget_desk.hpp
+++ b/src/entry/budget_service.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_SRC_ENTRY_BUDGET_DESK_HPP
-#define WALNUTMILL_SRC_ENTRY_BUDGET_DESK_HPP
+#ifndef WALNUTMILL_SRC_ENTRY_BUDGET_SERVICE_HPP
+#define WALNUTMILL_SRC_ENTRY_BUDGET_SERVICE_HPP
 
 /// \file
 /// Requests the admission of turns from the program's coordinator, and serves
@@ -29,7 +29,7 @@
 namespace walnutmill
 {
 
-struct desk_options
+struct budget_service_options
 {
     /// Timeout of an admission request. A coordinator replies from memory in 2
     /// to 4 ms, or in 10 to 15 ms if it writes to the store first. Waiting
@@ -44,7 +44,7 @@
 };
 
 /// Admits and settles turns at the coordinators of their programs.
-class budget_desk
+class budget_service
 {
 public:
     /// An admitted turn and the node at which it must be settled.
@@ -80,10 +80,10 @@
     /// \param self name of this node
     /// \param incarnation unique id of this node's process, never reused
     /// \param own_strength capacity weight of this node, in cores
-    budget_desk(
+    budget_service(
         boost::asio::io_context& io, program_ledger& ledger, clock_fn clock,
-        std::string self, std::string incarnation, desk_options options = {},
-        double own_strength = 1);
+        std::string self, std::string incarnation,
+        budget_service_options options = {}, double own_strength = 1);
 
     /// \param others the other nodes that may be coordinators
     void set_nodes(std::vector<home_candidate> others);
@@ -102,7 +102,7 @@
         std::optional<prompt_place> const& location = std::nullopt);
 
     /// \return true if this node is the coordinator of that key.
-    bool is_home_of(std::string const& key) const;
+    bool is_coordinator_of(std::string const& key) const;
 
     /// \return true if serve() handles the path.
     static bool is_request(std::string_view target);
@@ -167,7 +167,7 @@
     program_homes coordinators_;
     prompt_places cache_locations_;
     std::string incarnation_;
-    desk_options options_;
+    budget_service_options options_;
     std::uint64_t last_turn_ = 0;
     /// Turns of other nodes in progress, by turn id.
     std::unordered_map<std::string, remote_turn> remote_turns_;
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -204,7 +204,7 @@
          only_started_programs,
          route_->keeps_turns && !may_run_in_vain(pressure)},
         [self = shared_from_this()](
-            admission_answer answer, budget_desk::grant const& grant)
+            admission_answer answer, budget_service::grant const& grant)
         {
             self->log_fields_["budget"] = to_string(answer);
             self->log_fields_["budget_home"] = grant.coordinator;
@@ -221,7 +221,7 @@
         });
 }
 
-void call_flow::budget_granted(budget_desk::grant const& grant)
+void call_flow::budget_granted(budget_service::grant const& grant)
 {
     grant_ = grant;
     log_fields_["known_lines"] = grant.cache_locations.size();
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -14,7 +14,7 @@
 #include <walnutmill/stall_policy.hpp>
 #include <walnutmill/turn_history.hpp>
 
-#include "entry/budget_desk.hpp"
+#include "entry/budget_service.hpp"
 #include "entry/caller_link.hpp"
 #include "entry/engine_links.hpp"
 #include "entry/event_stream.hpp"
@@ -47,7 +47,7 @@
     random_fn random;
     engine_board& balancer;
     engine_links& links;
-    budget_desk& budgets;
+    budget_service& budgets;
     turn_history& history;
     line_log& log;
     metrics& counters;
@@ -137,7 +137,7 @@
     std::chrono::milliseconds retry_after_jitter() const;
     void arm_deadline();
     void admit();
-    void budget_granted(budget_desk::grant const& grant);
+    void budget_granted(budget_service::grant const& grant);
     void settle_budget();
     std::optional<prompt_place> cached_prefix_location() const;
     void refuse_for_budget(admission_answer answer);
@@ -203,7 +203,7 @@
     std::uint64_t max_tokens_ = 0;
     std::uint64_t tokens_per_event_ = 1;
     std::uint64_t delivered_tokens_ = 0;
-    std::optional<budget_desk::grant> grant_;
+    std::optional<budget_service::grant> grant_;
     /// The workspace's rate limit has granted a token to this call.
     bool quota_acquired_ = false;
     /// ID under which the turn is stored.
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -265,8 +265,8 @@
 ledger_options entry_node::options_of_ledger()
 {
     ledger_options to;
-    to.is_home = [this](program_id const& program)
-    { return budgets_.is_home_of(partition_of(program.str())); };
+    to.is_coordinator = [this](program_id const& program)
+    { return budgets_.is_coordinator_of(partition_of(program.str())); };
     return to;
 }
 
@@ -284,8 +284,8 @@
 start_leases::hooks entry_node::lease_hooks()
 {
     start_leases::hooks to;
-    to.is_home = [this](std::string const& partition)
-    { return budgets_.is_home_of(partition); };
+    to.is_coordinator = [this](std::string const& partition)
+    { return budgets_.is_coordinator_of(partition); };
     to.is_alive = [this](std::string const& incarnation)
     { return live_incarnations_.count(incarnation) > 0; };
     to.on_event = [this](lease_event const& one)
@@ -445,7 +445,7 @@
                 for (auto const& one : services_.table->routes)
                     kept_for = std::max(kept_for, one.kept_for);
             }
-            if (services_.table && budgets_.is_home_of(partition))
+            if (services_.table && budgets_.is_coordinator_of(partition))
             {
                 sweeper_.sweep(
                     partition,
--- a/src/entry/entry_node.hpp
+++ b/src/entry/entry_node.hpp
@@ -107,7 +107,7 @@
     engine_links links_;
     start_leases leases_;
     program_ledger ledger_;
-    budget_desk budgets_;
+    budget_service budgets_;
     turn_history history_;
     history_exchange peer_history_;
     load_exchange loads_;
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -123,7 +123,7 @@
         link->write(text_answer(status, std::move(body)));
         link->finish_answer(false);
     };
-    if (budget_desk::is_request(target))
+    if (budget_service::is_request(target))
         budgets_.serve(target, request.body(), reply);
     else if (history_exchange::is_request(target))
         peer_history_.serve(target, request.body(), reply);
--- a/src/entry/program_ledger.cpp
+++ b/src/entry/program_ledger.cpp
@@ -448,8 +448,8 @@
     if (state.role == account_role::fallback)
         return true;
     auto const keeps_reservation = state.role == account_role::coordinator &&
-                                   options_.is_home &&
-                                   options_.is_home(program);
+                                   options_.is_coordinator &&
+                                   options_.is_coordinator(program);
     if (!keeps_reservation)
         return quiet >= options_.idle_release_delay;
     // A program that started without the store has no account yet, and its
--- a/src/entry/start_lease.cpp
+++ b/src/entry/start_lease.cpp
@@ -110,7 +110,7 @@
     // of 44 seconds.
     if (store_.answers && !store_.answers(partition))
         return;
-    if (!hooks_.is_home(partition))
+    if (!hooks_.is_coordinator(partition))
     {
         if (holds(state) && state.started_programs.empty())
             release(partition, state);
--- a/test/budget_desk-test.cpp
+++ b/test/budget_service-test.cpp
@@ -1,4 +1,4 @@
-#include "entry/budget_desk.hpp"
+#include "entry/budget_service.hpp"
 #include "entry/caller_link.hpp"
 #include "entry/partitions.hpp"
 
@@ -23,7 +23,7 @@
 
 /// Two nodes with a shared store, connected over loopback TCP: the coordinator
 /// serves, the requester sends requests.
-struct desk_fixture
+struct budget_service_fixture
 {
     asio::io_context io;
     fake_store store;
@@ -31,7 +31,7 @@
     program_ledger coordinator_ledger{
         store.calls(), clock.fn(), "coordinator.1"};
     program_ledger requester_ledger{store.calls(), clock.fn(), "requester.1"};
-    budget_desk coordinator{
+    budget_service coordinator{
         io,
         coordinator_ledger,
         clock.fn(),
@@ -39,10 +39,10 @@
         "coordinator.1",
         {milliseconds(150), milliseconds(20)}};
     /// With a timeout that does not expire on a busy machine.
-    desk_options patient_options{seconds(20), milliseconds(20)};
-    budget_desk requester{
+    budget_service_options patient_options{seconds(20), milliseconds(20)};
+    budget_service requester{
         io, requester_ledger, clock.fn(), "requester", "requester.1"};
-    budget_desk patient_requester{
+    budget_service patient_requester{
         io,          requester_ledger, clock.fn(),
         "requester", "requester.1",    patient_options};
     bool store_responds = true;
@@ -53,7 +53,7 @@
     int settlements = 0;
     int admissions = 0;
 
-    desk_fixture()
+    budget_service_fixture()
     {
         std::vector<home_candidate> const others{
             {"coordinator",
@@ -136,14 +136,14 @@
         REQUIRE(holds());
     }
 
-    std::pair<admission_answer, budget_desk::grant>
+    std::pair<admission_answer, budget_service::grant>
     request_turn(std::uint64_t budget, bool only_begun = false)
     {
-        std::pair<admission_answer, budget_desk::grant> to;
+        std::pair<admission_answer, budget_service::grant> to;
         bool answered = false;
         requester.admit(
             {program, budget, 572, only_begun},
-            [&](admission_answer answer, budget_desk::grant grant)
+            [&](admission_answer answer, budget_service::grant grant)
             {
                 to = {answer, std::move(grant)};
                 answered = true;
@@ -166,7 +166,7 @@
 } // namespace
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: a turn is admitted and settled at the coordinator")
 {
     auto const [answer, grant] = request_turn(900);
@@ -181,7 +181,8 @@
     CHECK(request_turn(900).first != admission_answer::admitted);
 }
 
-TEST_CASE_METHOD(desk_fixture, "budget desk: a repeated settlement counts once")
+TEST_CASE_METHOD(
+    budget_service_fixture, "budget desk: a repeated settlement counts once")
 {
     auto const first = request_turn(900).second;
     requester.settle(first, 22);
@@ -194,7 +195,7 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: a node uses the store if the coordinator does not reply")
 {
     coordinator_replies = false;
@@ -205,7 +206,8 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a program that has not started may be rejected")
+    budget_service_fixture,
+    "budget desk: a program that has not started may be rejected")
 {
     CHECK(request_turn(2'600, true).first == admission_answer::not_begun);
     CHECK(store.commits() == 0);
@@ -214,7 +216,8 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: an unsettled turn counts as its maximum")
+    budget_service_fixture,
+    "budget desk: an unsettled turn counts as its maximum")
 {
     REQUIRE(request_turn(900).first == admission_answer::admitted);
     clock.advance(seconds(60));
@@ -225,14 +228,14 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: a node waits for a coordinator that waits for the store")
 {
     store_responds = false;
-    std::vector<budget_desk::grant> grants;
+    std::vector<budget_service::grant> grants;
     patient_requester.admit(
         {program, 900, 572, false},
-        [&](admission_answer answer, budget_desk::grant const& grant)
+        [&](admission_answer answer, budget_service::grant const& grant)
         {
             CHECK(answer == admission_answer::admitted);
             grants.push_back(grant);
@@ -252,13 +255,14 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: an abandoned admission is released")
+    budget_service_fixture, "budget desk: an abandoned admission is released")
 {
     store_responds = false;
     auto answered = false;
     patient_requester.admit(
         {program, 900, 572, false},
-        [&](admission_answer, budget_desk::grant const&) { answered = true; });
+        [&](admission_answer, budget_service::grant const&)
+        { answered = true; });
     run_until([&] { return admissions >= 2; });
     // The settlement reports that the requester continued without a reply.
     patient_requester.settle(
@@ -272,7 +276,8 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a fallback node reserves only a turn's maximum")
+    budget_service_fixture,
+    "budget desk: a fallback node reserves only a turn's maximum")
 {
     coordinator_replies = false;
     REQUIRE(request_turn(9'000).first == admission_answer::admitted);
@@ -280,34 +285,34 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: without known peers only a turn's maximum is reserved")
 {
-    budget_desk starting_node{
+    budget_service starting_node{
         io, requester_ledger, clock.fn(), "requester", "requester.1"};
     starting_node.admit(
         {program, 9'000, 572, false, false},
-        [](admission_answer, budget_desk::grant const&) {});
+        [](admission_answer, budget_service::grant const&) {});
     store.run();
     CHECK(reserved() == 572);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: a single node is the coordinator and reserves ahead")
 {
-    budget_desk single_node{
+    budget_service single_node{
         io, requester_ledger, clock.fn(), "requester", "requester.1"};
     single_node.set_nodes({});
     single_node.admit(
         {program, 9'000, 572, false, false},
-        [](admission_answer, budget_desk::grant const&) {});
+        [](admission_answer, budget_service::grant const&) {});
     store.run();
     CHECK(reserved() == 4'500);
 }
 
 TEST_CASE_METHOD(
-    desk_fixture,
+    budget_service_fixture,
     "budget desk: the coordinator reports where a prompt is cached")
 {
     auto const first = request_turn(2'600).second;
@@ -323,13 +328,14 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a coordinator reports its own turns, too")
+    budget_service_fixture,
+    "budget desk: a coordinator reports its own turns, too")
 {
-    budget_desk::grant own;
+    budget_service::grant own;
     bool answered = false;
     coordinator.admit(
         {program, 2'600, 572},
-        [&](admission_answer, budget_desk::grant grant)
+        [&](admission_answer, budget_service::grant grant)
         {
             own = std::move(grant);
             answered = true;
@@ -342,7 +348,8 @@
 }
 
 TEST_CASE_METHOD(
-    desk_fixture, "budget desk: a turn without a known location reports none")
+    budget_service_fixture,
+    "budget desk: a turn without a known location reports none")
 {
     auto const first = request_turn(2'600).second;
     requester.settle(first, 0);
--- a/test/program_ledger-test.cpp
+++ b/test/program_ledger-test.cpp
@@ -38,7 +38,7 @@
 
     program_ledger& start_coordinator()
     {
-        options.is_home = [](program_id const&) { return true; };
+        options.is_coordinator = [](program_id const&) { return true; };
         return start_node();
     }
 
@@ -285,7 +285,7 @@
     ledger_fixture world;
     if (all_coordinators)
     {
-        world.options.is_home = [](program_id const&) { return true; };
+        world.options.is_coordinator = [](program_id const&) { return true; };
         world.options.idle_retention = seconds(2);
     }
     for (auto const& [step, fault] : faults)
