--- a/include/walnutmill/stall_policy.hpp
+++ b/include/walnutmill/stall_policy.hpp
@@ -48,14 +48,14 @@
 /// \param stalls previous stalls of the same call. Each one doubles the
 /// timeout, so that a call that needs long can complete.
 /// \return silence after which the call counts as stalled
-duration stall_patience(
+duration stall_timeout(
     duration expected, bool is_turn, int stalls, stall_options const& options);
 
 /// Limits retries of stalled calls to a fraction of all calls.
-class repeat_allowance
+class retry_budget
 {
 public:
-    explicit repeat_allowance(stall_options const& options = {});
+    explicit retry_budget(stall_options const& options = {});
 
     /// Records the first attempt of a call.
     void call_sent();
--- a/src/entry/start_gate.cpp
+++ b/src/entry/admission_control.cpp
@@ -1,4 +1,4 @@
-#include "entry/start_gate.hpp"
+#include "entry/admission_control.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -15,9 +15,9 @@
 
 } // namespace
 
-double refusal_chance(
+double refusal_probability(
     std::optional<double> load_per_slot, std::uint32_t rank, bool has_priority,
-    gate_options const& options)
+    admission_control_options const& options)
 {
     if (!load_per_slot)
         return 0;
@@ -33,12 +33,13 @@
         1.0);
 }
 
-void ranks_under_way::record_turn(std::uint32_t rank, time_point now)
+void active_ranks::record_turn(std::uint32_t rank, time_point now)
 {
     last_seen_[std::min<std::size_t>(rank, ranks - 1)] = now;
 }
 
-bool ranks_under_way::has_less_urgent(std::uint32_t rank, time_point now) const
+bool active_ranks::has_less_urgent_rank(
+    std::uint32_t rank, time_point now) const
 {
     for (auto other = static_cast<std::size_t>(rank) + 1; other < ranks;
          ++other)
@@ -50,8 +51,9 @@
     return false;
 }
 
-bool may_run_in_vain(
-    std::optional<double> load_per_slot, gate_options const& options)
+bool may_run_speculatively(
+    std::optional<double> load_per_slot,
+    admission_control_options const& options)
 {
     return load_per_slot && *load_per_slot < options.speculative_load_limit;
 }
--- a/src/entry/start_gate.hpp
+++ b/src/entry/admission_control.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_SRC_ENTRY_START_GATE_HPP
-#define WALNUTMILL_SRC_ENTRY_START_GATE_HPP
+#ifndef WALNUTMILL_SRC_ENTRY_ADMISSION_CONTROL_HPP
+#define WALNUTMILL_SRC_ENTRY_ADMISSION_CONTROL_HPP
 
 /// \file
 /// Admission control: decides whether new programs may start while the engines
@@ -28,7 +28,7 @@
 namespace walnutmill
 {
 
-struct gate_options
+struct admission_control_options
 {
     /// Load per slot, in calls, above which some new programs are refused, and
     /// from which all are. A full batch generates 1.3 times slower than a
@@ -58,18 +58,18 @@
 /// \param rank of the route; 0 is the most urgent
 /// \param has_priority true if less urgent programs are active
 /// \return probability, 0 to 1, with which a new program is refused
-double refusal_chance(
+double refusal_probability(
     std::optional<double> load_per_slot, std::uint32_t rank,
-    bool has_priority = false, gate_options const& options = {});
+    bool has_priority = false, admission_control_options const& options = {});
 
 /// Tracks the ranks whose programs are active, as observed by this node.
-class ranks_under_way
+class active_ranks
 {
 public:
     /// Records that a turn of a program with this rank arrived.
     void record_turn(std::uint32_t rank, time_point now);
     /// \return true if a less urgent rank was recorded recently.
-    bool has_less_urgent(std::uint32_t rank, time_point now) const;
+    bool has_less_urgent_rank(std::uint32_t rank, time_point now) const;
 
 private:
     /// Routes have ranks 0 to 9; higher ranks count as the last one.
@@ -87,8 +87,9 @@
 /// way, and 0.50 to 0.55 with refusals (13 nodes, 14 engines, load per slot
 /// 0.3, without the load limit).
 /// \return true if such a turn may start; false if the load is unknown
-bool may_run_in_vain(
-    std::optional<double> load_per_slot, gate_options const& options = {});
+bool may_run_speculatively(
+    std::optional<double> load_per_slot,
+    admission_control_options const& options = {});
 
 } // namespace walnutmill
 
--- a/src/entry/budget_service.hpp
+++ b/src/entry/budget_service.hpp
@@ -13,8 +13,8 @@
 #include <walnutmill/program_ledger.hpp>
 
 #include "entry/http_caller.hpp"
+#include "entry/prefix_locations.hpp"
 #include "entry/program_home.hpp"
-#include "entry/prompt_places.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -165,7 +165,7 @@
     clock_fn clock_;
     http_caller caller_;
     program_homes coordinators_;
-    prompt_places cache_locations_;
+    prefix_locations cache_locations_;
     std::string incarnation_;
     budget_service_options options_;
     std::uint64_t last_turn_ = 0;
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -64,7 +64,7 @@
 {
     if (!service_->model)
         return std::nullopt;
-    return rank_of(call_, *route_, node_.clock() - arrived_);
+    return queue_rank(call_, *route_, node_.clock() - arrived_);
 }
 
 void call_flow::try_engine()
@@ -100,7 +100,7 @@
         if (possibly_run_at_.empty())
             refuse(
                 chosen ? "all engines asked refused" : "no engine to ask",
-                come_back_soon);
+                min_retry_after_refusal);
         else
             abort_call("no engine left to go on at");
         return;
@@ -125,7 +125,7 @@
     log_fields_["engine_cached"] = chosen->cached_tokens;
     attempt->sent_at = node_.clock();
     attempt->last_received_at = attempt->sent_at;
-    attempt->silence_timeout = stall_patience(
+    attempt->silence_timeout = stall_timeout(
         chosen->time_to_first_byte, service_->model.has_value(), stalls_,
         node_.stalls);
     node_.balancer.sent(chosen->ref(), need_);
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -112,7 +112,7 @@
     choose_service();
     if (service_ == nullptr)
     {
-        refuse("the route's service is not configured", come_back_spread);
+        refuse("the route's service is not configured", retry_after_spread);
         return false;
     }
     return true;
@@ -139,7 +139,7 @@
     if (service_ == nullptr || !service_->model)
         return;
     need_.prompt_tokens = std::max(call_.prompt_tokens, 1U);
-    need_.output_tokens = expected_output(call_);
+    need_.output_tokens = expected_output_tokens(call_);
     need_.prompt = &call_.prompt;
     need_.cache_tokens = service_->model->cache_tokens;
     tokens_per_event_ = service_->model->tokens_per_event;
@@ -185,7 +185,7 @@
     auto const pressure = node_.balancer.pressure(need_.service);
     if (pressure)
         log_fields_["pressure"] = *pressure;
-    if (route_->keeps_turns && should_come_back(current_outage()))
+    if (route_->keeps_turns && should_refuse_in_outage(current_outage()))
     {
         refuse_without_store("the store that turns are kept in is away");
         return;
@@ -193,16 +193,16 @@
     auto const now = node_.clock();
     node_.ranks.record_turn(route_rank(), now);
     auto const less_urgent_in_flight =
-        node_.ranks.has_less_urgent(route_rank(), now);
+        node_.ranks.has_less_urgent_rank(route_rank(), now);
     if (less_urgent_in_flight)
         log_fields_["goes_before_others"] = true;
     auto const only_started_programs =
         node_.random() <
-        refusal_chance(pressure, route_rank(), less_urgent_in_flight);
+        refusal_probability(pressure, route_rank(), less_urgent_in_flight);
     node_.budgets.admit(
         {program.program, *program.token_budget, max_tokens_,
          only_started_programs,
-         route_->keeps_turns && !may_run_in_vain(pressure)},
+         route_->keeps_turns && !may_run_speculatively(pressure)},
         [self = shared_from_this()](
             admission_answer answer, budget_service::grant const& grant)
         {
@@ -260,7 +260,7 @@
     if (answer == admission_answer::not_begun)
         refuse("the engines are full", retry_after_when_full);
     else if (answer == admission_answer::contended)
-        refuse("the budget is taken by turns under way", come_back_spread);
+        refuse("the budget is taken by turns under way", retry_after_spread);
     else
         refuse_without_store("the store of budgets does not answer");
 }
@@ -326,7 +326,8 @@
     if (sent || head_written_ || !possibly_run_at_.empty())
         abort_call("time is up");
     else
-        refuse("time was up before an engine was free", come_back_soon);
+        refuse(
+            "time was up before an engine was free", min_retry_after_refusal);
 }
 
 void call_flow::on_caller_disconnected()
@@ -350,7 +351,7 @@
         outage.lost_for = node_.store_outage_time();
     outage.time_left = time_left();
     auto const found = node_.whole_times.find(route_->name);
-    outage.whole_time =
+    outage.total_time =
         found == node_.whole_times.end() ? outage.time_left : found->second;
     return outage;
 }
@@ -359,10 +360,10 @@
 {
     auto const outage = current_outage();
     log_fields_["store_lost_ms"] = ms_count(outage.lost_for);
-    auto const wait = outage.lost_for.count() > 0 ? come_back_in_outage(outage)
+    auto const wait = outage.lost_for.count() > 0 ? outage_retry_after(outage)
                                                   : retry_after_without_store;
     // refuse() adds a random delay of up to the spread subtracted here.
-    refuse(why, std::max(wait - come_back_spread, come_back_soon));
+    refuse(why, std::max(wait - retry_after_spread, min_retry_after_refusal));
 }
 
 void call_flow::refuse(std::string_view why, milliseconds retry_after)
@@ -375,7 +376,7 @@
 milliseconds call_flow::retry_after_jitter() const
 {
     return milliseconds(static_cast<std::int64_t>(
-        node_.random() * static_cast<double>(come_back_spread.count())));
+        node_.random() * static_cast<double>(retry_after_spread.count())));
 }
 
 std::uint32_t call_flow::route_rank() const
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -14,6 +14,7 @@
 #include <walnutmill/stall_policy.hpp>
 #include <walnutmill/turn_history.hpp>
 
+#include "entry/admission_control.hpp"
 #include "entry/budget_service.hpp"
 #include "entry/caller_link.hpp"
 #include "entry/engine_links.hpp"
@@ -21,7 +22,6 @@
 #include "entry/line_log.hpp"
 #include "entry/outage_policy.hpp"
 #include "entry/quota_exchange.hpp"
-#include "entry/start_gate.hpp"
 #include "entry/workspace_counters.hpp"
 #include "platform/call_codec.hpp"
 
@@ -52,8 +52,8 @@
     line_log& log;
     metrics& counters;
     stall_options stalls;
-    repeat_allowance repeats;
-    ranks_under_way ranks;
+    retry_budget repeats;
+    active_ranks ranks;
     /// Null until a configuration is known.
     std::shared_ptr<routing_table const> table;
     /// Nodes that share the engines' connections, this one included.
--- a/src/entry/call_identity.cpp
+++ b/src/entry/call_identity.cpp
@@ -56,7 +56,9 @@
         recheck_or_reject_key(age);
         break;
     case identity_answer::stale:
-        refuse("the configuration is too old to check the key", come_back_soon);
+        refuse(
+            "the configuration is too old to check the key",
+            min_retry_after_refusal);
         break;
     }
 }
--- a/src/entry/call_limits.hpp
+++ b/src/entry/call_limits.hpp
@@ -18,8 +18,8 @@
 constexpr std::chrono::milliseconds deadline_margin{30};
 /// Minimum retry delay after a refusal, and the range of the jitter added to
 /// it. The calls of an engine end within half a second.
-constexpr std::chrono::milliseconds come_back_soon{120};
-constexpr std::chrono::milliseconds come_back_spread{250};
+constexpr std::chrono::milliseconds min_retry_after_refusal{120};
+constexpr std::chrono::milliseconds retry_after_spread{250};
 
 /// Maximum number of times that one call is sent to engines, including those
 /// that refuse it, are unreachable or break off. If one in ten engines is
--- a/src/entry/call_rank.cpp
+++ b/src/entry/call_rank.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::uint32_t rank_of(call const& one, route const& to, duration waited)
+std::uint32_t queue_rank(call const& one, route const& to, duration waited)
 {
     auto const route_rank =
         std::min(one.owner_rank.value_or(to.rank), max_route_rank);
@@ -29,7 +29,7 @@
     return on_time_rank + route_rank;
 }
 
-std::uint32_t expected_output(call const& one)
+std::uint32_t expected_output_tokens(call const& one)
 {
     if (one.hinted_output_tokens > 0)
         return std::min(
--- a/src/entry/call_rank.hpp
+++ b/src/entry/call_rank.hpp
@@ -20,10 +20,10 @@
 
 /// \param waited time since the call arrived
 /// \return rank from 0 (served first) to 9
-std::uint32_t rank_of(call const& one, route const& to, duration waited);
+std::uint32_t queue_rank(call const& one, route const& to, duration waited);
 
 /// \return the number of tokens that a turn is expected to generate
-std::uint32_t expected_output(call const& one);
+std::uint32_t expected_output_tokens(call const& one);
 
 } // namespace walnutmill
 
--- a/src/entry/outage_policy.cpp
+++ b/src/entry/outage_policy.cpp
@@ -15,15 +15,16 @@
 
 } // namespace
 
-bool should_come_back(outage_call const& call, outage_options const& options)
+bool should_refuse_in_outage(
+    outage_call const& call, outage_options const& options)
 {
     return call.lost_for >= options.short_outage &&
            call.time_left >
-               fraction_of(call.whole_time, options.first_attempt_time_ratio);
+               fraction_of(call.total_time, options.first_attempt_time_ratio);
 }
 
 std::chrono::milliseconds
-come_back_in_outage(outage_call const& call, outage_options const& options)
+outage_retry_after(outage_call const& call, outage_options const& options)
 {
     auto const max_delay =
         fraction_of(call.time_left, options.max_retry_after_ratio);
--- a/src/entry/outage_policy.hpp
+++ b/src/entry/outage_policy.hpp
@@ -47,18 +47,18 @@
     /// Time until the deadline of the call.
     duration time_left{0};
     /// Time that callers of the route allow for a call.
-    duration whole_time{0};
+    duration total_time{0};
 };
 
 /// \return true if the call should be refused with a retry delay rather than
 /// run.
-bool should_come_back(
+bool should_refuse_in_outage(
     outage_call const& call, outage_options const& options = {});
 
 /// \return the retry delay of a refused call. An outage is assumed to last as
 /// long again as it already has.
-std::chrono::milliseconds come_back_in_outage(
-    outage_call const& call, outage_options const& options = {});
+std::chrono::milliseconds
+outage_retry_after(outage_call const& call, outage_options const& options = {});
 
 } // namespace walnutmill
 
--- a/src/entry/prompt_places.cpp
+++ b/src/entry/prefix_locations.cpp
@@ -1,4 +1,4 @@
-#include "entry/prompt_places.hpp"
+#include "entry/prefix_locations.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -7,12 +7,13 @@
 namespace walnutmill
 {
 
-prompt_places::prompt_places(clock_fn clock, prefix_location_options options)
+prefix_locations::prefix_locations(
+    clock_fn clock, prefix_location_options options)
     : clock_(std::move(clock)), options_(options)
 {
 }
 
-void prompt_places::record_location(
+void prefix_locations::record_location(
     program_id const& program, prompt_place new_location)
 {
     if (programs_.count(program) == 0 &&
@@ -33,14 +34,14 @@
 }
 
 std::vector<prompt_place>
-prompt_places::locations_of(program_id const& program) const
+prefix_locations::locations_of(program_id const& program) const
 {
     auto const found = programs_.find(program);
     return found == programs_.end() ? std::vector<prompt_place>()
                                     : found->second.locations;
 }
 
-void prompt_places::sweep()
+void prefix_locations::sweep()
 {
     auto const now = clock_();
     for (auto it = programs_.begin(); it != programs_.end();)
--- a/src/entry/prompt_places.hpp
+++ b/src/entry/prefix_locations.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_SRC_ENTRY_PROMPT_PLACES_HPP
-#define WALNUTMILL_SRC_ENTRY_PROMPT_PLACES_HPP
+#ifndef WALNUTMILL_SRC_ENTRY_PREFIX_LOCATIONS_HPP
+#define WALNUTMILL_SRC_ENTRY_PREFIX_LOCATIONS_HPP
 
 /// \file
 /// Prefix cache locations of a program's conversations, kept by the program's
@@ -39,10 +39,10 @@
     std::size_t max_programs = 4'096;
 };
 
-class prompt_places
+class prefix_locations
 {
 public:
-    explicit prompt_places(
+    explicit prefix_locations(
         clock_fn clock, prefix_location_options options = {});
 
     /// Records the engine that has cached the prompt of a completed turn.
--- a/src/entry/stall_policy.cpp
+++ b/src/entry/stall_policy.cpp
@@ -5,7 +5,7 @@
 namespace walnutmill
 {
 
-duration stall_patience(
+duration stall_timeout(
     duration expected, bool is_turn, int stalls, stall_options const& options)
 {
     // Avoids overflow; no call is sent more often than this.
@@ -17,18 +17,18 @@
            (1 << std::clamp(stalls, 0, max_doublings));
 }
 
-repeat_allowance::repeat_allowance(stall_options const& options)
+retry_budget::retry_budget(stall_options const& options)
     : retry_ratio_(options.retry_ratio), max_balance_(options.max_balance),
       balance_(options.max_balance)
 {
 }
 
-void repeat_allowance::call_sent()
+void retry_budget::call_sent()
 {
     balance_ = std::min(balance_ + retry_ratio_, max_balance_);
 }
 
-bool repeat_allowance::try_spend()
+bool retry_budget::try_spend()
 {
     if (balance_ < 1)
         return false;
--- a/test/start_gate_load-test.cpp
+++ b/test/admission_control_load-test.cpp
@@ -5,7 +5,7 @@
 /// With a higher threshold for urgent programs all of them do, and 47 of the
 /// others.
 
-#include "entry/start_gate.hpp"
+#include "entry/admission_control.hpp"
 
 #include <walnutmill/random.hpp>
 
@@ -52,7 +52,8 @@
 class burst_simulation
 {
 public:
-    explicit burst_simulation(gate_options const& options) : options_(options)
+    explicit burst_simulation(admission_control_options const& options)
+        : options_(options)
     {
     }
 
@@ -112,7 +113,7 @@
     void start(std::size_t program_index)
     {
         auto const& one = programs_[program_index];
-        auto const chance = refusal_chance(
+        auto const chance = refusal_probability(
             load_per_slot(), one.route->rank, one.route == &routes[0],
             options_);
         if (random_() >= chance)
@@ -156,7 +157,7 @@
         serve();
     }
 
-    gate_options options_;
+    admission_control_options options_;
     random_fn random_ = seeded_random(5);
     std::multimap<double, std::function<void()>> events_;
     std::vector<program> programs_;
@@ -173,9 +174,9 @@
 }
 
 /// Options with the same refusal thresholds for both routes.
-gate_options same_thresholds()
+admission_control_options same_thresholds()
 {
-    gate_options options;
+    admission_control_options options;
     options.priority_load_offset = 0;
     return options;
 }
--- a/test/engine_fleet.cpp
+++ b/test/engine_fleet.cpp
@@ -163,10 +163,10 @@
     ranks.record_turn(kind.rank, clock_.now());
     auto const refused =
         options_.use_admission_control &&
-        random_() < refusal_chance(
+        random_() < refusal_probability(
                         balancers_[at]->pressure(service_name("llm")),
                         kind.rank,
-                        ranks.has_less_urgent(kind.rank, clock_.now()),
+                        ranks.has_less_urgent_rank(kind.rank, clock_.now()),
                         options_.admission);
     if (!refused)
     {
--- a/test/engine_fleet.hpp
+++ b/test/engine_fleet.hpp
@@ -10,8 +10,8 @@
 
 #include <walnutmill/engine_board.hpp>
 
+#include "entry/admission_control.hpp"
 #include "entry/load_summary.hpp"
-#include "entry/start_gate.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -60,7 +60,7 @@
     /// Nodes exchange the demand for shared prompts.
     bool shares_demand = true;
     bool use_admission_control = true;
-    gate_options admission{};
+    admission_control_options admission{};
     board_options balancer{};
     std::vector<program_kind> kinds;
     std::uint32_t seed = 1;
@@ -170,7 +170,7 @@
     manual_clock clock_;
     random_fn random_;
     std::vector<std::unique_ptr<engine_board>> balancers_;
-    std::vector<ranks_under_way> ranks_;
+    std::vector<active_ranks> ranks_;
     std::vector<time_point> report_at_;
     std::vector<simulated_engine> engines_;
     std::vector<kind_result> results_;
--- a/test/outage_policy-test.cpp
+++ b/test/outage_policy-test.cpp
@@ -35,7 +35,7 @@
                 outage_call call;
                 call.lost_for = at;
                 call.time_left = deadline - (at - sent);
-                call.whole_time = deadline;
+                call.total_time = deadline;
                 if (!should_refuse(call))
                 {
                     at += std::min<milliseconds>(
@@ -47,7 +47,7 @@
                 }
                 survived = at;
                 if (attempt == 0)
-                    at += come_back_in_outage(call);
+                    at += outage_retry_after(call);
             }
             at += pause;
         }
@@ -66,8 +66,8 @@
         longest_outage([](outage_call const&) { return false; });
     auto const refused =
         longest_outage([](outage_call const&) { return true; });
-    auto const by_policy = longest_outage([](outage_call const& call)
-                                          { return should_come_back(call); });
+    auto const by_policy = longest_outage(
+        [](outage_call const& call) { return should_refuse_in_outage(call); });
     CHECK(by_policy >= seconds(9));
     CHECK(by_policy > run_at_once + seconds(2));
     CHECK(by_policy > refused + seconds(4));
@@ -77,10 +77,10 @@
 {
     outage_call call;
     call.time_left = deadline;
-    call.whole_time = deadline;
-    CHECK_FALSE(should_come_back(call));
+    call.total_time = deadline;
+    CHECK_FALSE(should_refuse_in_outage(call));
     call.lost_for = milliseconds(400);
-    CHECK_FALSE(should_come_back(call));
+    CHECK_FALSE(should_refuse_in_outage(call));
 }
 
 TEST_CASE_METHOD(
@@ -88,11 +88,11 @@
 {
     outage_call call;
     call.lost_for = seconds(5);
-    call.whole_time = deadline;
+    call.total_time = deadline;
     call.time_left = deadline;
-    REQUIRE(should_come_back(call));
-    call.time_left -= come_back_in_outage(call);
-    CHECK_FALSE(should_come_back(call));
+    REQUIRE(should_refuse_in_outage(call));
+    call.time_left -= outage_retry_after(call);
+    CHECK_FALSE(should_refuse_in_outage(call));
 }
 
 TEST_CASE_METHOD(
@@ -101,13 +101,13 @@
 {
     outage_call call;
     call.time_left = deadline;
-    call.whole_time = deadline;
+    call.total_time = deadline;
     call.lost_for = milliseconds(300);
-    CHECK(come_back_in_outage(call) == milliseconds(800));
+    CHECK(outage_retry_after(call) == milliseconds(800));
     call.lost_for = milliseconds(900);
-    CHECK(come_back_in_outage(call) == milliseconds(900));
+    CHECK(outage_retry_after(call) == milliseconds(900));
     call.lost_for = seconds(20);
-    CHECK(come_back_in_outage(call) <= deadline / 3);
+    CHECK(outage_retry_after(call) <= deadline / 3);
     call.time_left = milliseconds(90);
-    CHECK(come_back_in_outage(call) <= milliseconds(30));
+    CHECK(outage_retry_after(call) <= milliseconds(30));
 }
--- a/test/prompt_places-test.cpp
+++ b/test/prefix_locations-test.cpp
@@ -1,4 +1,4 @@
-#include "entry/prompt_places.hpp"
+#include "entry/prefix_locations.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -25,7 +25,7 @@
 struct locations_fixture
 {
     manual_clock clock;
-    prompt_places locations{clock.fn(), {2, seconds(5), 3}};
+    prefix_locations locations{clock.fn(), {2, seconds(5), 3}};
     program_id const program{"p1"};
 
     /// \return the program's locations as PART:TOKENS@ENGINE.
@@ -106,7 +106,7 @@
     manual_clock clock;
     random_fn random = seeded_random(11);
     std::vector<std::unique_ptr<engine_board>> balancers;
-    prompt_places locations{clock.fn()};
+    prefix_locations locations{clock.fn()};
     /// Active calls per engine.
     std::map<std::string, std::uint32_t> calls;
     std::map<std::pair<std::string, std::string>, std::uint32_t> cached;
--- a/test/stall_policy-test.cpp
+++ b/test/stall_policy-test.cpp
@@ -21,7 +21,7 @@
         options.max_balance = 3;
     }
 
-    int count_granted(repeat_allowance& allowance, int requested) const
+    int count_granted(retry_budget& allowance, int requested) const
     {
         int granted = 0;
         for (int i = 0; i < requested; ++i)
@@ -36,13 +36,12 @@
     stall_fixture, "stall: the timeout grows with the expected time")
 {
     CHECK(
-        stall_patience(milliseconds(40), true, 0, options) ==
-        milliseconds(560));
+        stall_timeout(milliseconds(40), true, 0, options) == milliseconds(560));
     CHECK(
-        stall_patience(milliseconds(150), true, 0, options) ==
+        stall_timeout(milliseconds(150), true, 0, options) ==
         milliseconds(1'000));
     CHECK(
-        stall_patience(milliseconds(50), false, 0, options) ==
+        stall_timeout(milliseconds(50), false, 0, options) ==
         milliseconds(800));
 }
 
@@ -50,8 +49,7 @@
     stall_fixture, "stall: a negative estimate gets the minimum timeout")
 {
     CHECK(
-        stall_patience(milliseconds(-5), true, 0, options) ==
-        milliseconds(400));
+        stall_timeout(milliseconds(-5), true, 0, options) == milliseconds(400));
 }
 
 TEST_CASE_METHOD(
@@ -59,19 +57,19 @@
     "stall: each stall of a call doubles the timeout of its next attempt")
 {
     CHECK(
-        stall_patience(milliseconds(0), true, 1, options) == milliseconds(800));
+        stall_timeout(milliseconds(0), true, 1, options) == milliseconds(800));
     CHECK(
-        stall_patience(milliseconds(0), true, 3, options) ==
+        stall_timeout(milliseconds(0), true, 3, options) ==
         milliseconds(3'200));
     CHECK(
-        stall_patience(milliseconds(0), true, 1'000, options) ==
-        stall_patience(milliseconds(0), true, 6, options));
+        stall_timeout(milliseconds(0), true, 1'000, options) ==
+        stall_timeout(milliseconds(0), true, 6, options));
 }
 
 TEST_CASE_METHOD(
     stall_fixture, "stall: if all calls stall, one in ten is retried")
 {
-    repeat_allowance allowance(options);
+    retry_budget allowance(options);
     int granted = 0;
     for (int i = 0; i < 1'000; ++i)
     {
@@ -86,7 +84,7 @@
     stall_fixture,
     "stall: without stalls the retry budget fills up to its maximum")
 {
-    repeat_allowance allowance(options);
+    retry_budget allowance(options);
     CHECK(count_granted(allowance, 10) == 3);
     for (int i = 0; i < 500; ++i)
         allowance.call_sent();
