--- a/include/walnutmill/engine_board.hpp
+++ b/include/walnutmill/engine_balancer.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_ENGINE_BOARD_HPP
-#define WALNUTMILL_ENGINE_BOARD_HPP
+#ifndef WALNUTMILL_ENGINE_BALANCER_HPP
+#define WALNUTMILL_ENGINE_BALANCER_HPP
 
 /// \file
 /// Engine load balancer: selects the engine for a call from what this node
@@ -43,7 +43,7 @@
 {
 
 /// Cost model, ejection and prefix placement parameters of the load balancer.
-struct board_options
+struct balancer_options
 {
     /// Duration of one decoding step at batch size one, the increment for each
     /// further call in the batch, and the prefill rate. The values come from
@@ -130,7 +130,7 @@
 };
 
 /// Requirements of a call for its engine.
-struct placement_need
+struct balancer_request
 {
     service_name service;
     /// Tokens to prefill and the expected number to generate; zero for plain
@@ -173,7 +173,7 @@
 
 /// Location of a prompt part in an engine's prefix cache, with its cached
 /// tokens.
-struct prompt_place
+struct prefix_cache_location
 {
     std::string part;
     std::uint32_t tokens = 0;
@@ -193,7 +193,7 @@
     failed,
     /// The engine closed the connection without an answer, as an engine that is
     /// down does.
-    silent_end,
+    closed_without_answer,
     /// The caller disconnected or the call timed out.
     abandoned
 };
@@ -209,12 +209,12 @@
 using prompt_demand = std::unordered_map<std::uint32_t, double>;
 
 /// Selects engines for the calls of one node.
-class engine_board
+class engine_balancer
 {
 public:
-    engine_board(
+    engine_balancer(
         zone_name own_domain, clock_fn clock, random_fn random,
-        board_options options = {});
+        balancer_options options = {});
 
     /// Replaces the set of registered engines. The load, latency, failures and
     /// cached prompts of an engine that restarted belong to its former
@@ -229,25 +229,25 @@
 
     /// \return the candidate with the lowest expected cost; empty if the
     /// service has no usable engine
-    std::optional<placement> choose(placement_need const& need);
+    std::optional<placement> choose(balancer_request const& need);
 
     // Reports about a former incarnation are ignored.
 
     /// Records that this node sent a call to the engine.
-    void sent(engine_ref const& engine, placement_need const& need);
+    void sent(engine_ref const& engine, balancer_request const& need);
     /// Records the end of a call that was passed to sent().
     /// \param took time from sending the call to the end of the answer
     void ended(
-        engine_ref const& engine, placement_need const& need,
+        engine_ref const& engine, balancer_request const& need,
         engine_outcome outcome, duration took);
     /// Records that a call at the engine has exceeded its stall timeout; the
     /// call may still complete there.
     void call_stalled(engine_ref const& engine);
     /// Records the load that the engine reported in an answer.
-    void told_load(engine_ref const& engine, engine_load const& load);
+    void report_load(engine_ref const& engine, engine_load const& load);
     /// Records that another node's call left a prompt part in an engine's
     /// prefix cache.
-    void add_prefix_location(prompt_place const& place);
+    void add_prefix_location(prefix_cache_location const& place);
     /// Sets the number of calls from other nodes at each engine, as of the
     /// latest exchange between nodes.
     void set_peer_loads(
@@ -257,12 +257,12 @@
     /// engines. An engine that went down looks idle; without shared outcomes
     /// each of many nodes would have to lose calls there itself.
     /// \return the engines ejected by this update
-    std::vector<std::pair<target_name, recent_outcomes>> set_all_outcomes(
+    std::vector<std::pair<target_name, recent_outcomes>> set_cluster_outcomes(
         std::function<recent_outcomes(target_name const&)> const& at);
 
     /// Sets the demand of all nodes for shared prompts. A node's own calls are
     /// too few to estimate the share of each.
-    void set_all_demand(prompt_demand demand);
+    void set_cluster_demand(prompt_demand demand);
     /// \return recent calls of this node, by the key of their shared prefix and
     /// of their service
     std::vector<std::pair<std::uint32_t, double>> own_demand() const;
@@ -271,7 +271,7 @@
     /// there is one
     bool known(engine_ref const& engine) const;
     /// \return the number of registered engines of a service, in any state
-    std::size_t engines_of(service_name const& service) const;
+    std::size_t count_engines(service_name const& service) const;
     /// Calls of this node in progress, by engine.
     std::vector<std::pair<target_name, std::uint32_t>> own_calls() const;
     /// Recent outcomes of this node's calls, for engines that have any.
@@ -349,22 +349,22 @@
     };
 
     std::vector<target_name> sample_candidates(
-        engine_group const& all, placement_need const& need, time_point now);
+        engine_group const& all, balancer_request const& need, time_point now);
     void sample_engines(
         std::vector<target_name> const& from, std::size_t most,
-        placement_need const& need, time_point now,
+        balancer_request const& need, time_point now,
         std::vector<target_name>& to);
     void add_conversation_engines(
-        placement_need const& need, time_point now,
+        balancer_request const& need, time_point now,
         std::vector<target_name>& to) const;
     bool is_assigned(std::string const& part, target_name const& engine) const;
-    void count_shared_prefix(placement_need const& need);
+    void count_shared_prefix(balancer_request const& need);
     double recent_calls(shared_prefix const& prefix, time_point now) const;
     double share_of(shared_prefix const& prefix, time_point now) const;
     void order_engines(
         shared_prefix& prefix, std::string const& part,
-        placement_need const& need) const;
-    double replica_factor_of(placement_need const& need) const;
+        balancer_request const& need) const;
+    double replica_factor_of(balancer_request const& need) const;
     engine_record* find(engine_ref const& engine);
     void drop_cached_parts(target_name const& engine);
     bool has_shared_prefix(
@@ -372,13 +372,13 @@
         target_name const& engine) const;
     double load_of(engine_record const& record, time_point now) const;
     double cost_of(
-        engine_record const& record, placement_need const& need,
+        engine_record const& record, balancer_request const& need,
         std::uint32_t cached, time_point now) const;
     double expected_ms(
-        engine_record const& record, placement_need const& need,
+        engine_record const& record, balancer_request const& need,
         std::uint32_t cached, double load) const;
     double first_bytes_ms(
-        engine_record const& record, placement_need const& need,
+        engine_record const& record, balancer_request const& need,
         std::uint32_t cached) const;
     double slowdown_of(engine_record const& record) const;
     void update_slowdown(engine_record& record, double sample);
@@ -390,20 +390,20 @@
     count_outcome(engine_record& record, bool failed, time_point now) const;
     double
     wait_ms(engine_record const& record, double load, double call_ms) const;
-    std::uint32_t
-    cached_tokens(target_name const& engine, placement_need const& need) const;
+    std::uint32_t cached_tokens(
+        target_name const& engine, balancer_request const& need) const;
     std::uint32_t cached_part_tokens(
         std::string const& part, target_name const& engine) const;
     void record_cached_part(prompt_part const& part, target_name const& engine);
     bool usable(
-        engine_record const& record, placement_need const& need, time_point now,
-        bool include_ejected) const;
+        engine_record const& record, balancer_request const& need,
+        time_point now, bool include_ejected) const;
     void eject(engine_record& record, duration first, time_point now) const;
 
     zone_name own_domain_;
     clock_fn clock_;
     random_fn random_;
-    board_options options_;
+    balancer_options options_;
     std::unordered_map<target_name, engine_record> engines_;
     std::unordered_map<service_name, engine_group> by_service_;
     struct service_pressure
--- a/src/entry/budget_service.cpp
+++ b/src/entry/budget_service.cpp
@@ -53,7 +53,7 @@
     return to;
 }
 
-json to_json(prompt_place const& one)
+json to_json(prefix_cache_location const& one)
 {
     json to{
         {"part", one.part},
@@ -66,7 +66,7 @@
 
 /// \return empty if the JSON has another format, as sent by another version of
 /// walnutmill.
-std::optional<prompt_place> cache_location_of(json const& from)
+std::optional<prefix_cache_location> cache_location_of(json const& from)
 {
     auto const has = [&from](char const* field, json::value_t type)
     { return from.contains(field) && from[field].type() == type; };
@@ -81,14 +81,14 @@
         engine.incarnation =
             engine_incarnation{from["started_at_ms"].get<std::int64_t>()};
     }
-    return prompt_place{
+    return prefix_cache_location{
         from["part"].get<std::string>(), from["tokens"].get<std::uint32_t>(),
         std::move(engine)};
 }
 
-std::vector<prompt_place> cache_locations_of(json const& body)
+std::vector<prefix_cache_location> cache_locations_of(json const& body)
 {
-    std::vector<prompt_place> to;
+    std::vector<prefix_cache_location> to;
     auto const cache_locations = body.find("places");
     if (cache_locations == body.end())
         return to;
@@ -133,7 +133,7 @@
         {
             auto cache_locations =
                 *alive ? cache_locations_.locations_of(request.program)
-                       : std::vector<prompt_place>();
+                       : std::vector<prefix_cache_location>();
             answer(
                 what, {request.program,
                        request.most_tokens,
@@ -218,7 +218,7 @@
 
 void budget_service::settle(
     grant const& granted, std::uint64_t delivered_tokens,
-    std::optional<prompt_place> const& location)
+    std::optional<prefix_cache_location> const& location)
 {
     if (!granted.coordinator.empty())
     {
@@ -233,7 +233,7 @@
 
 void budget_service::send_settlement(
     grant const& granted, std::uint64_t delivered_tokens,
-    std::optional<prompt_place> const& location, int attempts_left)
+    std::optional<prefix_cache_location> const& location, int attempts_left)
 {
     json settlement{{"turn", granted.turn}, {"used", delivered_tokens}};
     if (location)
--- a/src/entry/budget_service.hpp
+++ b/src/entry/budget_service.hpp
@@ -59,7 +59,7 @@
         /// IP:PORT of the coordinator.
         std::string coordinator_address;
         /// Prefix cache locations of the program's prompts, the latest last.
-        std::vector<prompt_place> cache_locations{};
+        std::vector<prefix_cache_location> cache_locations{};
     };
 
     /// A request to start a turn.
@@ -99,7 +99,7 @@
     /// unknown
     void settle(
         grant const& granted, std::uint64_t delivered_tokens,
-        std::optional<prompt_place> const& location = std::nullopt);
+        std::optional<prefix_cache_location> const& location = std::nullopt);
 
     /// \return true if this node is the coordinator of that key.
     bool is_coordinator_of(std::string const& key) const;
@@ -152,7 +152,8 @@
     void reply_to_pending(std::string const& turn);
     void send_settlement(
         grant const& granted, std::uint64_t delivered_tokens,
-        std::optional<prompt_place> const& location, int attempts_left);
+        std::optional<prefix_cache_location> const& location,
+        int attempts_left);
     void serve_admission(
         std::string_view body,
         std::function<void(int, std::string)> const& reply);
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -161,7 +161,7 @@
     attempt->last_received_at = node_.clock();
     attempt->answer = platform::decode_answer(head);
     if (attempt->answer.load)
-        node_.balancer.told_load(attempt->at.ref(), *attempt->answer.load);
+        node_.balancer.report_load(attempt->at.ref(), *attempt->answer.load);
     if (attempt->answer.idle_timeout)
         attempt->link->idle_timeout = *attempt->answer.idle_timeout;
     attempt->accepted_by_engine = !attempt->answer.not_run;
@@ -290,8 +290,8 @@
 {
     auto const no_answer = attempt->answer.status == 0;
     end_attempt(
-        attempt,
-        no_answer ? engine_outcome::silent_end : engine_outcome::failed);
+        attempt, no_answer ? engine_outcome::closed_without_answer
+                           : engine_outcome::failed);
     note_attempt(attempt, no_answer ? "ended without a word" : "broke off");
     retry_or_fail(attempt, false);
 }
@@ -349,7 +349,7 @@
     // A past incarnation is not among the service's engines.
     std::size_t const previous_count = node_.balancer.known(previous) ? 1 : 0;
     return static_cast<std::uint64_t>(alive) < route_->max_engines &&
-           node_.balancer.engines_of(need_.service) > previous_count;
+           node_.balancer.count_engines(need_.service) > previous_count;
 }
 
 /// Handles an attempt after which the engine may have run the call without
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -242,7 +242,7 @@
 
 /// \return the prefix cache location of the turn's prompt and output; empty if
 /// no engine has generated output in a completed attempt.
-std::optional<prompt_place> call_flow::cached_prefix_location() const
+std::optional<prefix_cache_location> call_flow::cached_prefix_location() const
 {
     auto const completed = current_ && current_->ended &&
                            current_->accepted_by_engine &&
@@ -250,7 +250,7 @@
     if (!completed || call_.prompt.empty())
         return std::nullopt;
     auto const& last = call_.prompt.back();
-    return prompt_place{
+    return prefix_cache_location{
         last.id, last.tokens + static_cast<std::uint32_t>(delivered_tokens_),
         current_->at.ref()};
 }
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -8,7 +8,7 @@
 
 #include <walnutmill/call.hpp>
 #include <walnutmill/denied_keys.hpp>
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 #include <walnutmill/metrics.hpp>
 #include <walnutmill/routing_table.hpp>
 #include <walnutmill/stall_policy.hpp>
@@ -45,7 +45,7 @@
     boost::asio::io_context& io;
     clock_fn clock;
     random_fn random;
-    engine_board& balancer;
+    engine_balancer& balancer;
     engine_links& links;
     budget_service& budgets;
     turn_history& history;
@@ -139,7 +139,7 @@
     void admit();
     void budget_granted(budget_service::grant const& grant);
     void settle_budget();
-    std::optional<prompt_place> cached_prefix_location() const;
+    std::optional<prefix_cache_location> cached_prefix_location() const;
     void refuse_for_budget(admission_answer answer);
     void load_history();
     void load_turn(request_id const& previous, bool try_unscoped_id);
@@ -189,7 +189,7 @@
     call call_;
     route const* route_ = nullptr;
     service const* service_ = nullptr;
-    placement_need need_;
+    balancer_request need_;
     boost::asio::steady_timer deadline_timer_;
     boost::asio::steady_timer stall_timer_;
     time_point arrived_;
--- a/src/entry/engine_board.cpp
+++ b/src/entry/engine_balancer.cpp
@@ -6,7 +6,7 @@
 /// full or down. Without the estimates each node would herd on the engine that
 /// looks idle and lose calls at the engines that are down.
 
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 
 #include "entry/target_list.hpp"
 
@@ -48,16 +48,16 @@
 
 } // namespace
 
-engine_board::engine_board(
+engine_balancer::engine_balancer(
     zone_name own_domain, clock_fn clock, random_fn random,
-    board_options options)
+    balancer_options options)
     : own_domain_(std::move(own_domain)), clock_(std::move(clock)),
       random_(std::move(random)), options_(options)
 {
 }
 
 std::vector<target_name>
-engine_board::set_engines(std::vector<engine_entry> const& engines)
+engine_balancer::set_engines(std::vector<engine_entry> const& engines)
 {
     std::unordered_map<target_name, engine_record> kept;
     std::vector<target_name> restarted;
@@ -92,7 +92,7 @@
     return restarted;
 }
 
-engine_board::engine_record* engine_board::find(engine_ref const& engine)
+engine_balancer::engine_record* engine_balancer::find(engine_ref const& engine)
 {
     auto const found = engines_.find(engine.id);
     if (found == engines_.end())
@@ -103,7 +103,7 @@
     return present ? &record : nullptr;
 }
 
-bool engine_board::known(engine_ref const& engine) const
+bool engine_balancer::known(engine_ref const& engine) const
 {
     auto const found = engines_.find(engine.id);
     return found != engines_.end() &&
@@ -111,7 +111,7 @@
             *engine.incarnation == found->second.entry.incarnation);
 }
 
-std::size_t engine_board::engines_of(service_name const& service) const
+std::size_t engine_balancer::count_engines(service_name const& service) const
 {
     auto const found = by_service_.find(service);
     return found == by_service_.end()
@@ -119,7 +119,8 @@
                : found->second.local.size() + found->second.remote.size();
 }
 
-double engine_board::load_of(engine_record const& record, time_point now) const
+double
+engine_balancer::load_of(engine_record const& record, time_point now) const
 {
     auto const own = static_cast<double>(record.own_calls);
     if (now - record.peer_calls_at < peer_load_max_age)
@@ -130,8 +131,8 @@
            record.average_other_calls * (1 - fresh);
 }
 
-double engine_board::expected_ms(
-    engine_record const& record, placement_need const& need,
+double engine_balancer::expected_ms(
+    engine_record const& record, balancer_request const& need,
     std::uint32_t cached, double load) const
 {
     if (need.prompt_tokens == 0)
@@ -146,15 +147,15 @@
             static_cast<double>(need.output_tokens) * step);
 }
 
-double engine_board::wait_ms(
+double engine_balancer::wait_ms(
     engine_record const& record, double load, double call_ms) const
 {
     auto const slots = static_cast<double>(std::max(record.entry.slots, 1U));
     return load < slots ? 0 : (load - slots + 1) / slots * call_ms;
 }
 
-double engine_board::first_bytes_ms(
-    engine_record const& record, placement_need const& need,
+double engine_balancer::first_bytes_ms(
+    engine_record const& record, balancer_request const& need,
     std::uint32_t cached) const
 {
     // A plain answer is not streamed.
@@ -167,14 +168,14 @@
 }
 
 double
-engine_board::failures_of(engine_record const& record, time_point now) const
+engine_balancer::failures_of(engine_record const& record, time_point now) const
 {
     return record.failures * std::exp2(
                                  -ms_of(now - record.failures_at) /
                                  ms_of(options_.failure_half_life));
 }
 
-void engine_board::add_failure(engine_record& record, time_point now) const
+void engine_balancer::add_failure(engine_record& record, time_point now) const
 {
     auto const before = failures_of(record, now);
     record.failures = before + (1 - before) * options_.failure_weight;
@@ -183,14 +184,14 @@
 }
 
 recent_outcomes
-engine_board::outcomes_of(engine_record const& record, time_point now) const
+engine_balancer::outcomes_of(engine_record const& record, time_point now) const
 {
     auto const decay = std::exp2(
         -ms_of(now - record.outcomes_at) / ms_of(options_.outcome_half_life));
     return {record.outcomes.failed * decay, record.outcomes.answered * decay};
 }
 
-void engine_board::count_outcome(
+void engine_balancer::count_outcome(
     engine_record& record, bool failed, time_point now) const
 {
     record.outcomes = outcomes_of(record, now);
@@ -198,8 +199,8 @@
     ++(failed ? record.outcomes.failed : record.outcomes.answered);
 }
 
-double engine_board::cost_of(
-    engine_record const& record, placement_need const& need,
+double engine_balancer::cost_of(
+    engine_record const& record, balancer_request const& need,
     std::uint32_t cached, time_point now) const
 {
     auto const load = load_of(record, now);
@@ -230,8 +231,8 @@
            random_() * cost_jitter_ms;
 }
 
-bool engine_board::usable(
-    engine_record const& record, placement_need const& need, time_point now,
+bool engine_balancer::usable(
+    engine_record const& record, balancer_request const& need, time_point now,
     bool include_ejected) const
 {
     return record.entry.state == engine_state::ready &&
@@ -241,7 +242,7 @@
            (include_ejected || record.ejected_until <= now);
 }
 
-std::optional<placement> engine_board::choose(placement_need const& need)
+std::optional<placement> engine_balancer::choose(balancer_request const& need)
 {
     auto const now = clock_();
     auto const service = by_service_.find(need.service);
@@ -286,7 +287,8 @@
     return to;
 }
 
-void engine_board::sent(engine_ref const& engine, placement_need const& need)
+void engine_balancer::sent(
+    engine_ref const& engine, balancer_request const& need)
 {
     auto* const found = find(engine);
     if (found == nullptr)
@@ -298,13 +300,13 @@
         record_cached_part(part, engine.id);
 }
 
-void engine_board::add_prefix_location(prompt_place const& place)
+void engine_balancer::add_prefix_location(prefix_cache_location const& place)
 {
     if (find(place.engine) != nullptr)
         record_cached_part({place.part, place.tokens}, place.engine.id);
 }
 
-void engine_board::eject(
+void engine_balancer::eject(
     engine_record& record, duration first, time_point now) const
 {
     if (record.ejected_until > now)
@@ -316,8 +318,8 @@
     record.ejected_until = now + record.ejection_time;
 }
 
-void engine_board::ended(
-    engine_ref const& engine, placement_need const& need,
+void engine_balancer::ended(
+    engine_ref const& engine, balancer_request const& need,
     engine_outcome outcome, duration took)
 {
     auto* const found = find(engine);
@@ -352,7 +354,7 @@
     case engine_outcome::failed:
         add_failure(record, now);
         break;
-    case engine_outcome::silent_end:
+    case engine_outcome::closed_without_answer:
         add_failure(record, now);
         eject(record, options_.base_ejection_time, now);
         break;
@@ -361,7 +363,7 @@
     }
 }
 
-double engine_board::slowdown_of(engine_record const& record) const
+double engine_balancer::slowdown_of(engine_record const& record) const
 {
     if (record.slowdown)
         return *record.slowdown;
@@ -369,7 +371,7 @@
     return usual == service_slowdowns_.end() ? 1.0 : usual->second.slowdown;
 }
 
-void engine_board::update_slowdown(engine_record& record, double sample)
+void engine_balancer::update_slowdown(engine_record& record, double sample)
 {
     // The mean of the first samples, then a moving average.
     auto& usual = service_slowdowns_[record.entry.service];
@@ -381,13 +383,14 @@
     record.slowdown = before + (sample - before) * options_.slowdown_weight;
 }
 
-void engine_board::call_stalled(engine_ref const& engine)
+void engine_balancer::call_stalled(engine_ref const& engine)
 {
     if (auto* const found = find(engine))
         add_failure(*found, clock_());
 }
 
-void engine_board::told_load(engine_ref const& engine, engine_load const& load)
+void engine_balancer::report_load(
+    engine_ref const& engine, engine_load const& load)
 {
     auto* const found = find(engine);
     if (found == nullptr)
@@ -403,7 +406,7 @@
     record.load_reported_at = clock_();
 }
 
-void engine_board::set_peer_loads(
+void engine_balancer::set_peer_loads(
     std::function<std::uint32_t(target_name const&)> const& calls_at)
 {
     auto const now = clock_();
@@ -422,7 +425,7 @@
 }
 
 std::vector<std::pair<target_name, recent_outcomes>>
-engine_board::set_all_outcomes(
+engine_balancer::set_cluster_outcomes(
     std::function<recent_outcomes(target_name const&)> const& at)
 {
     auto const now = clock_();
@@ -452,7 +455,7 @@
 }
 
 std::vector<std::pair<target_name, recent_outcomes>>
-engine_board::own_outcomes() const
+engine_balancer::own_outcomes() const
 {
     auto const now = clock_();
     std::vector<std::pair<target_name, recent_outcomes>> to;
@@ -466,7 +469,7 @@
 }
 
 std::vector<std::pair<target_name, std::uint32_t>>
-engine_board::own_calls() const
+engine_balancer::own_calls() const
 {
     std::vector<std::pair<target_name, std::uint32_t>> calls;
     for (auto const& [id, record] : engines_)
@@ -477,7 +480,8 @@
     return calls;
 }
 
-std::optional<double> engine_board::pressure(service_name const& service) const
+std::optional<double>
+engine_balancer::pressure(service_name const& service) const
 {
     auto const found = pressures_.find(service);
     if (found == pressures_.end() || found->second.slots == 0 ||
--- a/src/entry/engine_board_parts.cpp
+++ b/src/entry/engine_balancer_prefixes.cpp
@@ -6,7 +6,7 @@
 /// conversations that grow with each turn. Without the locations prompts would
 /// be prefilled again on engine after engine.
 
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 #include <walnutmill/hash.hpp>
 
 #include "entry/target_list.hpp"
@@ -42,15 +42,15 @@
 /// Minimum number of recent calls for a prompt that is reported to other nodes.
 constexpr double min_reported_demand = 0.05;
 
-std::string shared_prefix_key(placement_need const& need)
+std::string shared_prefix_key(balancer_request const& need)
 {
     return need.service.str() + "/" + need.prompt->front().id;
 }
 
 } // namespace
 
-std::uint32_t engine_board::cached_tokens(
-    target_name const& engine, placement_need const& need) const
+std::uint32_t engine_balancer::cached_tokens(
+    target_name const& engine, balancer_request const& need) const
 {
     std::uint32_t tokens = 0;
     if (need.prompt == nullptr)
@@ -73,7 +73,7 @@
 
 /// The last part of a conversation grows with each turn, so an engine that
 /// processed an earlier turn has its beginning cached.
-std::uint32_t engine_board::cached_part_tokens(
+std::uint32_t engine_balancer::cached_part_tokens(
     std::string const& part, target_name const& engine) const
 {
     auto const found = part_locations_.find(part);
@@ -82,8 +82,8 @@
     return held == nullptr ? 0 : held->tokens;
 }
 
-engine_board::cached_part const*
-engine_board::part_locations::find(target_name const& engine) const
+engine_balancer::cached_part const*
+engine_balancer::part_locations::find(target_name const& engine) const
 {
     auto const found = std::find_if(
         copies.begin(), copies.end(),
@@ -94,7 +94,7 @@
 /// A shared prefix is assumed to be cached at its assigned engines, since some
 /// node's call has read it there. The exception is an engine that has just
 /// restarted, unless this node's own call has read the prefix since.
-bool engine_board::has_shared_prefix(
+bool engine_balancer::has_shared_prefix(
     std::string const& part, std::string const& shared,
     target_name const& engine) const
 {
@@ -107,7 +107,7 @@
     return cached_part_tokens(part, engine) > 0;
 }
 
-void engine_board::drop_cached_parts(target_name const& engine)
+void engine_balancer::drop_cached_parts(target_name const& engine)
 {
     for (auto& [id, locations] : part_locations_)
     {
@@ -121,7 +121,7 @@
     }
 }
 
-bool engine_board::is_assigned(
+bool engine_balancer::is_assigned(
     std::string const& part, target_name const& engine) const
 {
     auto const found = shared_prefixes_.find(part);
@@ -131,7 +131,7 @@
 }
 
 /// Updates the share of a prompt's shared prefix and the order of its engines.
-void engine_board::count_shared_prefix(placement_need const& need)
+void engine_balancer::count_shared_prefix(balancer_request const& need)
 {
     if (need.prompt == nullptr || need.prompt->empty())
         return;
@@ -165,7 +165,7 @@
 }
 
 double
-engine_board::recent_calls(shared_prefix const& prefix, time_point now) const
+engine_balancer::recent_calls(shared_prefix const& prefix, time_point now) const
 {
     auto const halvings =
         std::chrono::duration<double>(now - prefix.recent_at).count() /
@@ -175,7 +175,8 @@
 
 /// \return the prefix's share of its service's calls, from all nodes if their
 /// demand is known
-double engine_board::share_of(shared_prefix const& prefix, time_point now) const
+double
+engine_balancer::share_of(shared_prefix const& prefix, time_point now) const
 {
     auto const of_part = demand_.find(prefix.key);
     auto const of_service = demand_.find(prefix.service_key);
@@ -191,13 +192,14 @@
     return prefix.share / std::max(all_shares, prefix.share);
 }
 
-void engine_board::set_all_demand(prompt_demand demand)
+void engine_balancer::set_cluster_demand(prompt_demand demand)
 {
     demand_ = std::move(demand);
     demand_at_ = clock_();
 }
 
-std::vector<std::pair<std::uint32_t, double>> engine_board::own_demand() const
+std::vector<std::pair<std::uint32_t, double>>
+engine_balancer::own_demand() const
 {
     auto const now = clock_();
     std::unordered_map<std::uint32_t, double> services;
@@ -214,9 +216,9 @@
     return to;
 }
 
-void engine_board::order_engines(
+void engine_balancer::order_engines(
     shared_prefix& prefix, std::string const& part,
-    placement_need const& need) const
+    balancer_request const& need) const
 {
     auto const found = by_service_.find(need.service);
     prefix.engines = {};
@@ -247,7 +249,7 @@
     }
 }
 
-double engine_board::replica_factor_of(placement_need const& need) const
+double engine_balancer::replica_factor_of(balancer_request const& need) const
 {
     auto const tokens =
         static_cast<double>(std::max(need.prompt->front().tokens, 1U));
@@ -259,8 +261,8 @@
 
 /// \return the candidate engines: those that hold the call's conversation, and
 /// random samples of those assigned its shared prefix and of all engines
-std::vector<target_name> engine_board::sample_candidates(
-    engine_group const& all, placement_need const& need, time_point now)
+std::vector<target_name> engine_balancer::sample_candidates(
+    engine_group const& all, balancer_request const& need, time_point now)
 {
     std::vector<target_name> candidates;
     auto const has_prompt = need.prompt != nullptr && !need.prompt->empty();
@@ -302,9 +304,9 @@
 }
 
 /// Adds up to \c most usable engines, sampled at random.
-void engine_board::sample_engines(
+void engine_balancer::sample_engines(
     std::vector<target_name> const& from, std::size_t most,
-    placement_need const& need, time_point now, std::vector<target_name>& to)
+    balancer_request const& need, time_point now, std::vector<target_name>& to)
 {
     // A sample that repeats an engine or hits an unusable one is redrawn a
     // limited number of times.
@@ -327,8 +329,8 @@
 
 /// Adds the engines that processed the last known part of the prompt: the
 /// call's own or, for the first turn of a sub-agent, its parent's.
-void engine_board::add_conversation_engines(
-    placement_need const& need, time_point now,
+void engine_balancer::add_conversation_engines(
+    balancer_request const& need, time_point now,
     std::vector<target_name>& to) const
 {
     for (auto part = need.prompt->rbegin(); part + 1 < need.prompt->rend();
@@ -349,7 +351,7 @@
     }
 }
 
-void engine_board::record_cached_part(
+void engine_balancer::record_cached_part(
     prompt_part const& part, target_name const& engine)
 {
     auto const found = part_locations_.find(part.id);
--- a/src/entry/entry_node.hpp
+++ b/src/entry/entry_node.hpp
@@ -103,7 +103,7 @@
     line_log log_;
     metrics counters_;
     store_client store_;
-    engine_board balancer_;
+    engine_balancer balancer_;
     engine_links links_;
     start_leases leases_;
     program_ledger ledger_;
--- a/src/entry/load_exchange.cpp
+++ b/src/entry/load_exchange.cpp
@@ -56,7 +56,7 @@
 } // namespace
 
 load_exchange::load_exchange(
-    asio::io_context& io, engine_board& balancer, clock_fn clock,
+    asio::io_context& io, engine_balancer& balancer, clock_fn clock,
     std::string self, double own_strength, std::chrono::milliseconds interval)
     : balancer_(balancer), clock_(std::move(clock)), self_(self),
       coordinators_(std::move(self), aggregator_options(own_strength)), io_(io),
@@ -367,14 +367,14 @@
     prompt_demand demand;
     for (auto const& one : sum.demand)
         demand[one.key] = one.calls / units_per_call;
-    balancer_.set_all_demand(std::move(demand));
+    balancer_.set_cluster_demand(std::move(demand));
     if (sum.outcomes.empty())
         return;
     std::unordered_map<std::uint32_t, recent_outcomes> outcomes;
     for (auto const& one : sum.outcomes)
         outcomes[one.engine] = {
             one.failed / units_per_call, one.answered / units_per_call};
-    auto const ejected = balancer_.set_all_outcomes(
+    auto const ejected = balancer_.set_cluster_outcomes(
         [&](target_name const& engine)
         {
             auto const found = outcomes.find(short_key(engine));
--- a/src/entry/load_exchange.hpp
+++ b/src/entry/load_exchange.hpp
@@ -12,7 +12,7 @@
 /// and reports the choice immediately. Broadcasting each change instead would
 /// take nodes times calls datagrams.
 
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 
 #include "entry/load_summary.hpp"
 #include "entry/program_home.hpp"
@@ -46,7 +46,7 @@
     /// in cores
     /// \param interval shortest interval between periodic reports
     load_exchange(
-        boost::asio::io_context& io, engine_board& balancer, clock_fn clock,
+        boost::asio::io_context& io, engine_balancer& balancer, clock_fn clock,
         std::string self, double own_strength = 1,
         std::chrono::milliseconds interval = default_report_interval);
     ~load_exchange();
@@ -107,7 +107,7 @@
         home_candidate const& to, std::uint64_t number, load_report const& own);
     load_report own_report() const;
 
-    engine_board& balancer_;
+    engine_balancer& balancer_;
     clock_fn clock_;
     std::string self_;
     program_homes coordinators_;
--- a/src/entry/prefix_locations.cpp
+++ b/src/entry/prefix_locations.cpp
@@ -14,7 +14,7 @@
 }
 
 void prefix_locations::record_location(
-    program_id const& program, prompt_place new_location)
+    program_id const& program, prefix_cache_location new_location)
 {
     if (programs_.count(program) == 0 &&
         programs_.size() >= options_.max_programs)
@@ -25,7 +25,7 @@
     locations.erase(
         std::remove_if(
             locations.begin(), locations.end(),
-            [&new_location](prompt_place const& location)
+            [&new_location](prefix_cache_location const& location)
             { return location.part == new_location.part; }),
         locations.end());
     if (locations.size() >= options_.max_conversations)
@@ -33,11 +33,11 @@
     locations.push_back(std::move(new_location));
 }
 
-std::vector<prompt_place>
+std::vector<prefix_cache_location>
 prefix_locations::locations_of(program_id const& program) const
 {
     auto const found = programs_.find(program);
-    return found == programs_.end() ? std::vector<prompt_place>()
+    return found == programs_.end() ? std::vector<prefix_cache_location>()
                                     : found->second.locations;
 }
 
--- a/src/entry/prefix_locations.hpp
+++ b/src/entry/prefix_locations.hpp
@@ -13,7 +13,7 @@
 /// of the same day each).
 
 #include <walnutmill/clock.hpp>
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 #include <walnutmill/ids.hpp>
 
 #include <chrono>
@@ -47,11 +47,13 @@
 
     /// Records the engine that has cached the prompt of a completed turn.
     /// Ignored for a new program if the maximum number is reached.
-    void record_location(program_id const& program, prompt_place place);
+    void
+    record_location(program_id const& program, prefix_cache_location place);
 
     /// \return the locations of the program, most recent last; empty if none
     /// are known.
-    std::vector<prompt_place> locations_of(program_id const& program) const;
+    std::vector<prefix_cache_location>
+    locations_of(program_id const& program) const;
 
     /// Removes programs without a turn within the retention time.
     void sweep();
@@ -59,7 +61,7 @@
 private:
     struct program_entry
     {
-        std::vector<prompt_place> locations;
+        std::vector<prefix_cache_location> locations;
         time_point recorded_at{};
     };
 
--- a/test/budget_service-test.cpp
+++ b/test/budget_service-test.cpp
@@ -318,7 +318,7 @@
     auto const first = request_turn(2'600).second;
     CHECK(first.cache_locations.empty());
     engine_ref const engine(target_name("e1"), engine_incarnation{1'000});
-    requester.settle(first, 22, prompt_place{"line", 700, engine});
+    requester.settle(first, 22, prefix_cache_location{"line", 700, engine});
     run_until([&] { return settlements == 1; });
     auto const second = request_turn(2'600).second;
     REQUIRE(second.cache_locations.size() == 1);
@@ -341,7 +341,8 @@
             answered = true;
         });
     run_until([&] { return answered; });
-    coordinator.settle(own, 22, prompt_place{"line", 700, target_name("e1")});
+    coordinator.settle(
+        own, 22, prefix_cache_location{"line", 700, target_name("e1")});
     auto const reported = request_turn(2'600).second.cache_locations;
     REQUIRE(reported.size() == 1);
     CHECK(reported[0].engine == engine_ref(target_name("e1")));
--- a/test/engine_board-test.cpp
+++ b/test/engine_balancer-test.cpp
@@ -1,4 +1,4 @@
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
 struct balancer_fixture
 {
     manual_clock clock;
-    engine_board balancer{zone_name("z0"), clock.fn(), seeded_random(7)};
+    engine_balancer balancer{zone_name("z0"), clock.fn(), seeded_random(7)};
     std::vector<engine_entry> engines;
     std::vector<prompt_part> prompt{{"shared", 12'600}, {"own", 1'500}};
 
@@ -37,9 +37,9 @@
         balancer.set_engines(engines);
     }
 
-    placement_need turn() const
+    balancer_request turn() const
     {
-        placement_need need;
+        balancer_request need;
         need.service = service_name("llm");
         need.prompt_tokens = 14'100;
         need.output_tokens = 260;
@@ -47,15 +47,15 @@
         return need;
     }
 
-    placement_need plain_call() const
+    balancer_request plain_call() const
     {
-        placement_need need;
+        balancer_request need;
         need.service = service_name("llm");
         return need;
     }
 
     std::map<std::string, int>
-    choose_repeatedly(placement_need const& need, int repetitions)
+    choose_repeatedly(balancer_request const& need, int repetitions)
     {
         std::map<std::string, int> chosen;
         for (int i = 0; i < repetitions; ++i)
@@ -99,7 +99,7 @@
     balancer_fixture, "board: nodes agree on the engines of a shared prefix")
 {
     start(24);
-    engine_board other{zone_name("z0"), clock.fn(), seeded_random(99)};
+    engine_balancer other{zone_name("z0"), clock.fn(), seeded_random(99)};
     other.set_engines(engines);
     std::map<std::string, int> first_chosen;
     std::map<std::string, int> second_chosen;
@@ -343,11 +343,12 @@
     auto const down_engine = target_name("e0");
     // The other engines are full, so the one that is down has the lowest cost.
     for (auto const* id : {"e1", "e2", "e3"})
-        balancer.told_load(target_name(id), {16, 200, 16});
+        balancer.report_load(target_name(id), {16, 200, 16});
     CHECK(choose_repeatedly(plain_call(), 50)["e0"] > 25);
     balancer.sent(down_engine, plain_call());
     balancer.ended(
-        down_engine, plain_call(), engine_outcome::silent_end, milliseconds(5));
+        down_engine, plain_call(), engine_outcome::closed_without_answer,
+        milliseconds(5));
     CHECK(choose_repeatedly(plain_call(), 50)["e0"] == 0);
     clock.advance(milliseconds(310));
     CHECK(choose_repeatedly(plain_call(), 50)["e0"] > 25);
@@ -360,7 +361,7 @@
     start(4, 1);
     auto const report = [this](double failed, double answered)
     {
-        return balancer.set_all_outcomes(
+        return balancer.set_cluster_outcomes(
             [=](target_name const& engine)
             {
                 return engine.str() == "e0" ? recent_outcomes{failed, answered}
@@ -401,7 +402,7 @@
     balancer.set_engines(engines);
     auto const report = [this]
     {
-        return balancer.set_all_outcomes(
+        return balancer.set_cluster_outcomes(
             [](target_name const& engine)
             {
                 return engine.str() == "e0" ? recent_outcomes{8, 0}
@@ -450,7 +451,7 @@
         all[key] = 1'600;
     auto const of_part = own.front().first;
     all[of_part] = 100;
-    balancer.set_all_demand(all);
+    balancer.set_cluster_demand(all);
     clock.advance(seconds(1));
     CHECK(distinct_engines() <= 4);
     // The reported demand has expired.
--- a/test/engine_rest_load-test.cpp
+++ b/test/engine_ejection_load-test.cpp
@@ -1,4 +1,4 @@
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -43,7 +43,7 @@
 {
     manual_clock clock;
     random_fn random = seeded_random(5);
-    std::vector<std::unique_ptr<engine_board>> balancers;
+    std::vector<std::unique_ptr<engine_balancer>> balancers;
     std::vector<pending_call> calls;
     bool exchanges_outcomes = true;
     /// Engines e0 to e3 are down.
@@ -69,7 +69,7 @@
         }
         for (int i = 0; i < node_count; ++i)
         {
-            balancers.push_back(std::make_unique<engine_board>(
+            balancers.push_back(std::make_unique<engine_balancer>(
                 zone_name("z" + std::to_string(i % 4)), clock.fn(),
                 seeded_random(static_cast<std::uint32_t>(100 + i))));
             balancers.back()->set_engines(engines);
@@ -83,7 +83,7 @@
 
     void send(int node)
     {
-        placement_need need;
+        balancer_request need;
         need.service = service_name("llm");
         auto& balancer = *balancers[static_cast<std::size_t>(node)];
         auto const at = balancer.choose(need);
@@ -100,7 +100,7 @@
 
     void end_calls()
     {
-        placement_need need;
+        balancer_request need;
         need.service = service_name("llm");
         for (std::size_t i = 0; i < calls.size();)
         {
@@ -112,7 +112,7 @@
             }
             balancers[static_cast<std::size_t>(one.node)]->ended(
                 one.engine, need,
-                one.fails ? engine_outcome::silent_end
+                one.fails ? engine_outcome::closed_without_answer
                           : engine_outcome::answered,
                 clock.now() - one.sent_at);
             calls[i] = calls.back();
@@ -144,9 +144,9 @@
                 { return loads[engine.str()] - own[engine.str()]; });
             if (!exchanges_outcomes)
                 continue;
-            auto const ejected =
-                balancer->set_all_outcomes([&](target_name const& engine)
-                                           { return outcomes[engine.str()]; });
+            auto const ejected = balancer->set_cluster_outcomes(
+                [&](target_name const& engine)
+                { return outcomes[engine.str()]; });
             ejections += static_cast<int>(ejected.size());
         }
     }
--- a/test/engine_fleet.cpp
+++ b/test/engine_fleet.cpp
@@ -56,7 +56,7 @@
     }
     for (int i = 0; i < options_.nodes; ++i)
     {
-        balancers_.push_back(std::make_unique<engine_board>(
+        balancers_.push_back(std::make_unique<engine_balancer>(
             zone_name(domain_of(i % options_.domains)), clock_.fn(),
             seeded_random(options_.seed * 1'000 + static_cast<unsigned>(i)),
             options_.balancer));
@@ -429,7 +429,7 @@
     for (auto const& one : sum_.demand)
         demand[one.key] = one.calls / 100.0;
     if (options_.shares_demand)
-        balancer.set_all_demand(std::move(demand));
+        balancer.set_cluster_demand(std::move(demand));
 }
 
 } // namespace testing
--- a/test/engine_fleet.hpp
+++ b/test/engine_fleet.hpp
@@ -8,7 +8,7 @@
 /// rank, and a cache of prompt parts. It reads prompts between the tokens of
 /// its batch. A more urgent call preempts the newest of the least urgent calls.
 
-#include <walnutmill/engine_board.hpp>
+#include <walnutmill/engine_balancer.hpp>
 
 #include "entry/admission_control.hpp"
 #include "entry/load_summary.hpp"
@@ -61,7 +61,7 @@
     bool shares_demand = true;
     bool use_admission_control = true;
     admission_control_options admission{};
-    board_options balancer{};
+    balancer_options balancer{};
     std::vector<program_kind> kinds;
     std::uint32_t seed = 1;
 };
@@ -110,7 +110,7 @@
         double ideal_ms = 0;
         bool refused = false;
         std::vector<prompt_part> prompt;
-        std::vector<prompt_place> locations;
+        std::vector<prefix_cache_location> locations;
     };
     using program_ptr = std::shared_ptr<program>;
 
@@ -118,7 +118,7 @@
     {
         program_ptr owner;
         int node = 0;
-        placement_need need;
+        balancer_request need;
         engine_ref engine{target_name()};
         std::uint32_t rank = 0;
         time_point sent_at{};
@@ -169,7 +169,7 @@
     fleet_options options_;
     manual_clock clock_;
     random_fn random_;
-    std::vector<std::unique_ptr<engine_board>> balancers_;
+    std::vector<std::unique_ptr<engine_balancer>> balancers_;
     std::vector<active_ranks> ranks_;
     std::vector<time_point> report_at_;
     std::vector<simulated_engine> engines_;
--- a/test/load_exchange-test.cpp
+++ b/test/load_exchange-test.cpp
@@ -25,7 +25,7 @@
     struct node
     {
         reserved_address address;
-        engine_board balancer;
+        engine_balancer balancer;
         load_exchange loads;
 
         node(
@@ -39,7 +39,7 @@
     };
 
     boost::asio::io_context io;
-    placement_need need;
+    balancer_request need;
     std::unique_ptr<node> strong;
     std::unique_ptr<node> weak;
 
--- a/test/prefix_locations-test.cpp
+++ b/test/prefix_locations-test.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-prompt_place
+prefix_cache_location
 at(std::string const& part, std::uint32_t tokens, std::string const& engine)
 {
     return {part, tokens, target_name(engine)};
@@ -105,7 +105,7 @@
 
     manual_clock clock;
     random_fn random = seeded_random(11);
-    std::vector<std::unique_ptr<engine_board>> balancers;
+    std::vector<std::unique_ptr<engine_balancer>> balancers;
     prefix_locations locations{clock.fn()};
     /// Active calls per engine.
     std::map<std::string, std::uint32_t> calls;
@@ -128,14 +128,14 @@
         }
         for (int i = 0; i < nodes; ++i)
         {
-            balancers.push_back(std::make_unique<engine_board>(
+            balancers.push_back(std::make_unique<engine_balancer>(
                 zone_name("z" + std::to_string(i % 4)), clock.fn(),
                 seeded_random(static_cast<std::uint64_t>(i) + 1)));
             balancers.back()->set_engines(all);
         }
     }
 
-    engine_board& random_node()
+    engine_balancer& random_node()
     {
         auto const drawn = static_cast<std::size_t>(random() * nodes);
         return *balancers[std::min<std::size_t>(drawn, nodes - 1)];
@@ -148,7 +148,7 @@
         auto const own = static_cast<std::uint32_t>(turn + 1) * new_tokens;
         std::vector<prompt_part> const prompt{
             {"shared", shared_tokens}, {id.str(), own}};
-        placement_need need;
+        balancer_request need;
         need.service = service_name("llm");
         need.prompt_tokens = shared_tokens + own;
         need.output_tokens = 34;
