--- a/src/entry/quota_exchange.cpp
+++ b/src/entry/quota_exchange.cpp
@@ -74,7 +74,7 @@
     return placement_.is_first(group_key(owner));
 }
 
-quota_message quota_exchange::make_message(quota_verb type) const
+quota_message quota_exchange::make_message(quota_message_type type) const
 {
     quota_message message;
     message.type = type;
@@ -90,7 +90,7 @@
         done({quota_decision::granted}, {});
         return;
     }
-    auto message = make_message(quota_verb::request_token);
+    auto message = make_message(quota_message_type::request_token);
     message.request.owner = owner;
     message.request.limit = *known.limit;
     message.configuration = known.configuration;
@@ -213,7 +213,7 @@
         coordinator_.refund(owner);
         return;
     }
-    auto message = make_message(quota_verb::refund);
+    auto message = make_message(quota_message_type::refund);
     message.request.owner = owner;
     hooks_.send(coordinator->address, encode(message));
 }
@@ -226,7 +226,7 @@
         return false;
     switch (message->type)
     {
-    case quota_verb::request_token:
+    case quota_message_type::request_token:
     {
         auto forwarded = *message;
         ++forwarded.hops;
@@ -235,25 +235,25 @@
             [this, request_id = message->request_id,
              reply](quota_answer const& answer, std::string const&)
             {
-                auto answer_message = make_message(quota_verb::answer);
+                auto answer_message = make_message(quota_message_type::answer);
                 answer_message.request_id = request_id;
                 answer_message.answer = answer;
                 reply(encode(answer_message));
             });
         break;
     }
-    case quota_verb::answer:
+    case quota_message_type::answer:
         handle_answer(*message);
         break;
-    case quota_verb::refund:
+    case quota_message_type::refund:
         coordinator_.refund(message->request.owner);
         break;
-    case quota_verb::ping:
+    case quota_message_type::ping:
         // A node that does not know the members yet can't be a coordinator.
         if (placement_.knows_nodes())
-            reply(encode(make_message(quota_verb::pong)));
+            reply(encode(make_message(quota_message_type::pong)));
         break;
-    case quota_verb::pong:
+    case quota_message_type::pong:
         mark_reachable(message->node);
         break;
     }
@@ -287,7 +287,7 @@
         return;
     last_ping_ = now;
     for (auto const& [node, address] : unreachable_)
-        hooks_.send(address, encode(make_message(quota_verb::ping)));
+        hooks_.send(address, encode(make_message(quota_message_type::ping)));
 }
 
 } // namespace walnutmill
--- a/src/entry/quota_exchange.hpp
+++ b/src/entry/quota_exchange.hpp
@@ -140,7 +140,7 @@
     void handle_answer(quota_message const& message);
     void mark_unreachable(home_candidate const& node);
     void mark_reachable(std::string const& node);
-    quota_message make_message(quota_verb type) const;
+    quota_message make_message(quota_message_type type) const;
 
     clock_fn clock_;
     std::string self_;
--- a/src/entry/quota_message.cpp
+++ b/src/entry/quota_message.cpp
@@ -24,8 +24,9 @@
 bool is_valid(quota_message const& message)
 {
     auto const type = static_cast<std::uint8_t>(message.type);
-    return type >= static_cast<std::uint8_t>(quota_verb::request_token) &&
-           type <= static_cast<std::uint8_t>(quota_verb::pong) &&
+    return type >=
+               static_cast<std::uint8_t>(quota_message_type::request_token) &&
+           type <= static_cast<std::uint8_t>(quota_message_type::pong) &&
            is_finite_non_negative(message.request.limit.per_second) &&
            is_finite_non_negative(message.request.limit.burst) &&
            message.answer.decision <= quota_decision::undecided &&
@@ -38,7 +39,7 @@
     quota_message message;
     std::size_t position = 1;
     auto const next = [&]() -> json const& { return body.at(position++); };
-    message.type = static_cast<quota_verb>(next().get<std::uint8_t>());
+    message.type = static_cast<quota_message_type>(next().get<std::uint8_t>());
     message.node = next().get<std::string>();
     message.request_id = next().get<std::uint64_t>();
     message.request.owner = workspace_name(next().get<std::string>());
--- a/src/entry/quota_message.hpp
+++ b/src/entry/quota_message.hpp
@@ -15,7 +15,7 @@
 namespace walnutmill
 {
 
-enum class quota_verb : std::uint8_t
+enum class quota_message_type : std::uint8_t
 {
     /// Rate-limit request for one token.
     request_token = 1,
@@ -29,7 +29,7 @@
 
 struct quota_message
 {
-    quota_verb type = quota_verb::request_token;
+    quota_message_type type = quota_message_type::request_token;
     /// Name of the sending node.
     std::string node;
     /// Identifies a rate-limit request of its sender; the answer repeats it.
--- a/test/decoder_fuzz-test.cpp
+++ b/test/decoder_fuzz-test.cpp
@@ -194,7 +194,7 @@
     ask.node = "n1";
     ask.request = {workspace_name("archive"), {3, 9}};
     quota_message answer;
-    answer.type = quota_verb::answer;
+    answer.type = quota_message_type::answer;
     answer.answer = {
         quota_decision::over_limit, std::chrono::milliseconds(120)};
     run_mutated(
--- a/test/quota_world.cpp
+++ b/test/quota_cluster.cpp
@@ -1,4 +1,4 @@
-#include "quota_world.hpp"
+#include "quota_cluster.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/test/quota_world.hpp
+++ b/test/quota_cluster.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_TEST_QUOTA_WORLD_HPP
-#define WALNUTMILL_TEST_QUOTA_WORLD_HPP
+#ifndef WALNUTMILL_TEST_QUOTA_CLUSTER_HPP
+#define WALNUTMILL_TEST_QUOTA_CLUSTER_HPP
 
 /// \file
 /// Simulated cluster whose nodes enforce workspace rate limits together, on a
--- a/test/quota_exchange-test.cpp
+++ b/test/quota_exchange-test.cpp
@@ -1,4 +1,4 @@
-#include "quota_world.hpp"
+#include "quota_cluster.hpp"
 
 #include "entry/load_summary.hpp"
 
@@ -221,7 +221,7 @@
 TEST_CASE("quota message: encoding round-trips, invalid bytes are rejected")
 {
     quota_message one;
-    one.type = quota_verb::answer;
+    one.type = quota_message_type::answer;
     one.node = "n1";
     one.request_id = 7;
     one.request = {small, {3.5, 9}};
@@ -246,7 +246,7 @@
     one.request.limit.per_second = -1;
     CHECK_FALSE(decode_quota_message(encode(one)));
     one.request.limit.per_second = 1;
-    one.type = static_cast<quota_verb>(9);
+    one.type = static_cast<quota_message_type>(9);
     CHECK_FALSE(decode_quota_message(encode(one)));
 }
 
