--- a/src/cli_explain.cpp
+++ b/src/cli_explain.cpp
@@ -1,7 +1,7 @@
 #include "cli_explain.hpp"
 
 #include "ctl.hpp"
-#include "entry/call_story.hpp"
+#include "entry/call_trace.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -23,7 +23,7 @@
                      "(- is standard input)\n";
         return ctl_usage;
     }
-    call_story story(arguments.front());
+    call_trace story(arguments.front());
     for (auto it = arguments.begin() + 2; it != arguments.end(); ++it)
     {
         if (*it == "-")
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -233,7 +233,7 @@
     if (how == link_end::not_connected)
     {
         end_attempt(attempt, engine_outcome::unreachable);
-        note_attempt(attempt, "unreachable");
+        log_failed_attempt(attempt, "unreachable");
         // The engine has ended or is unreachable, so an earlier attempt at it
         // no longer counts.
         need_.only = target_name();
@@ -281,7 +281,8 @@
     end_attempt(
         attempt,
         other_incarnation ? engine_outcome::unreachable : engine_outcome::full);
-    note_attempt(attempt, other_incarnation ? "another incarnation" : "full");
+    log_failed_attempt(
+        attempt, other_incarnation ? "another incarnation" : "full");
     need_.avoid.push_back(attempt->at.engine);
     try_engine();
 }
@@ -292,7 +293,8 @@
     end_attempt(
         attempt, no_answer ? engine_outcome::closed_without_answer
                            : engine_outcome::failed);
-    note_attempt(attempt, no_answer ? "ended without a word" : "broke off");
+    log_failed_attempt(
+        attempt, no_answer ? "ended without a word" : "broke off");
     retry_or_fail(attempt, false);
 }
 
@@ -313,7 +315,7 @@
             return;
         }
         end_attempt(attempt, engine_outcome::answered);
-        note_attempt(attempt, "answered");
+        log_failed_attempt(attempt, "answered");
         if (!head_written_)
             deliver(attempt);
         else
@@ -322,7 +324,7 @@
     }
     end_attempt(
         attempt, failed ? engine_outcome::failed : engine_outcome::answered);
-    note_attempt(attempt, failed ? "failed" : "answered");
+    log_failed_attempt(attempt, failed ? "failed" : "answered");
     if (failed)
         retry_or_fail(attempt, true);
     else
@@ -436,7 +438,7 @@
         call_.program.program.str());
 }
 
-void call_flow::note_attempt(
+void call_flow::log_failed_attempt(
     attempt_ptr const& attempt, std::string_view outcome)
 {
     if (outcome == "answered")
--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -47,12 +47,12 @@
     : node_(node), link_(std::move(link)), request_(std::move(request)),
       deadline_timer_(node.io), stall_timer_(node.io), arrived_(node.clock())
 {
-    ++node_.calls_under_way;
+    ++node_.calls_in_flight;
 }
 
 call_flow::~call_flow()
 {
-    --node_.calls_under_way;
+    --node_.calls_in_flight;
 }
 
 duration call_flow::time_left() const
@@ -82,7 +82,7 @@
         refuse("no configuration is known yet", retry_after_without_store);
         return;
     }
-    if (!node_.takes_calls)
+    if (!node_.accepts_calls)
     {
         // The connection closes with this answer, so that the caller's retry
         // reaches another node.
@@ -153,7 +153,7 @@
     if (call_.deadline)
         wait = std::min(wait, *call_.deadline - deadline_margin);
     deadline_at_ = arrived_ + wait;
-    auto& longest = node_.whole_times[route_->name];
+    auto& longest = node_.max_call_times[route_->name];
     longest = std::max(longest, duration(wait));
     deadline_timer_.expires_after(wait);
     deadline_timer_.async_wait(
@@ -350,9 +350,9 @@
     if (node_.store_outage_time)
         outage.lost_for = node_.store_outage_time();
     outage.time_left = time_left();
-    auto const found = node_.whole_times.find(route_->name);
+    auto const found = node_.max_call_times.find(route_->name);
     outage.total_time =
-        found == node_.whole_times.end() ? outage.time_left : found->second;
+        found == node_.max_call_times.end() ? outage.time_left : found->second;
     return outage;
 }
 
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -60,13 +60,13 @@
     std::uint32_t nodes = 1;
     bool stopping = false;
     /// False once a new call could not complete before the process exits.
-    bool takes_calls = true;
-    std::size_t calls_under_way = 0;
+    bool accepts_calls = true;
+    std::size_t calls_in_flight = 0;
     /// Time since the store last answered any request; zero while it answers.
     std::function<duration()> store_outage_time;
     /// Longest time limit of a call by route name, since the configuration
     /// last changed.
-    std::unordered_map<std::string, duration> whole_times;
+    std::unordered_map<std::string, duration> max_call_times;
     /// Calls back once the engine loads are as recent as available. Null: the
     /// engine is chosen at once.
     std::function<void(std::function<void()>)> before_choice{};
@@ -157,7 +157,7 @@
     void end_attempt(attempt_ptr const& attempt, engine_outcome outcome);
     void watch_for_stall(attempt_ptr const& attempt);
     void check_progress(attempt_ptr const& attempt);
-    bool may_leave(attempt_ptr const& attempt);
+    bool may_abandon(attempt_ptr const& attempt);
     void refused_by_engine(attempt_ptr const& attempt);
     void attempt_interrupted(attempt_ptr const& attempt);
     void attempt_completed(attempt_ptr const& attempt);
@@ -179,7 +179,8 @@
         std::chrono::milliseconds retry_after = std::chrono::milliseconds(0));
     void abort_call(std::string_view why);
     void finish(std::string_view outcome, bool trouble);
-    void note_attempt(attempt_ptr const& attempt, std::string_view outcome);
+    void
+    log_failed_attempt(attempt_ptr const& attempt, std::string_view outcome);
     duration time_left() const;
 
     entry_services& node_;
--- a/src/entry/call_stalls.cpp
+++ b/src/entry/call_stalls.cpp
@@ -33,8 +33,8 @@
     }
     node_.balancer.call_stalled(one->at.ref());
     node_.links.drop_idle(one->at.engine);
-    auto const retries = may_leave(one);
-    note_attempt(one, retries ? "stalled, left" : "stalled, waits on");
+    auto const retries = may_abandon(one);
+    log_failed_attempt(one, retries ? "stalled, left" : "stalled, waits on");
     if (!retries)
         return;
     ++stalls_;
@@ -47,7 +47,7 @@
 
 /// \return true if the call should be aborted at its silent engine and be
 /// retried.
-bool call_flow::may_leave(attempt_ptr const& one)
+bool call_flow::may_abandon(attempt_ptr const& one)
 {
     if (route_->repeats != repeatability::idempotent || sends_ >= max_sends)
         return false;
--- a/src/entry/call_story.cpp
+++ b/src/entry/call_trace.cpp
@@ -1,4 +1,4 @@
-#include "entry/call_story.hpp"
+#include "entry/call_trace.hpp"
 
 #include <algorithm>
 #include <array>
@@ -52,9 +52,9 @@
 
 } // namespace
 
-call_story::call_story(std::string id) : id_(std::move(id)) {}
+call_trace::call_trace(std::string id) : id_(std::move(id)) {}
 
-void call_story::read(std::istream& lines)
+void call_trace::read(std::istream& lines)
 {
     for (std::string text; std::getline(lines, text);)
     {
@@ -69,13 +69,13 @@
     }
 }
 
-bool call_story::concerns(json const& line) const
+bool call_trace::concerns(json const& line) const
 {
     return field_text(line, "request") == id_ ||
            field_text(line, "program") == id_;
 }
 
-std::vector<call_story::event> call_story::related_events() const
+std::vector<call_trace::event> call_trace::related_events() const
 {
     std::set<std::string> nodes;
     std::set<std::string> engines;
@@ -113,7 +113,7 @@
     return selected;
 }
 
-std::vector<std::string> call_story::format_lines() const
+std::vector<std::string> call_trace::format_lines() const
 {
     std::vector<std::string> formatted;
     auto const found = std::any_of(
--- a/src/entry/call_story.hpp
+++ b/src/entry/call_trace.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_SRC_ENTRY_CALL_STORY_HPP
-#define WALNUTMILL_SRC_ENTRY_CALL_STORY_HPP
+#ifndef WALNUTMILL_SRC_ENTRY_CALL_TRACE_HPP
+#define WALNUTMILL_SRC_ENTRY_CALL_TRACE_HPP
 
 /// \file
 /// Builds the timeline of a call or program from the log lines of nodes.
@@ -15,11 +15,11 @@
 {
 
 /// Collects log lines and selects those that concern one ID.
-class call_story
+class call_trace
 {
 public:
     /// \param id ID of a request or program
-    explicit call_story(std::string id);
+    explicit call_trace(std::string id);
 
     /// Reads log lines of one or more nodes. Skips text before a line's JSON
     /// object and lines without one.
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -308,7 +308,7 @@
 {
     services_.table = std::move(table);
     // Total call times are kept by route, and the routes may have changed.
-    services_.whole_times.clear();
+    services_.max_call_times.clear();
 }
 
 void entry_node::set_engines(std::vector<engine_entry> const& engines)
@@ -398,7 +398,7 @@
     io_.run();
     log_.write(
         log_priority::important, "node.stopped",
-        {{"calls_cut", services_.calls_under_way}});
+        {{"calls_cut", services_.calls_in_flight}});
     log_.flush();
     links_.close_all();
     return true;
--- a/src/entry/entry_node_stop.cpp
+++ b/src/entry/entry_node_stop.cpp
@@ -85,7 +85,7 @@
     stop_began_ = clock_();
     log_.write(
         log_priority::important, "node.stopping",
-        {{"calls", services_.calls_under_way},
+        {{"calls", services_.calls_in_flight},
          {"connections", caller_links_.size()}});
     stop_step();
 }
@@ -99,7 +99,7 @@
     if (since >
         settings_.stop_grace - exit_before_grace_end - last_accept_before_exit)
     {
-        services_.takes_calls = false;
+        services_.accepts_calls = false;
         boost::system::error_code ignored; // may be closed already
         caller_acceptor_.close(ignored);
     }
@@ -116,7 +116,7 @@
         for (auto* link : open)
             link->retire();
     }
-    auto const drained = left_cluster_ && services_.calls_under_way == 0 &&
+    auto const drained = left_cluster_ && services_.calls_in_flight == 0 &&
                          caller_links_.empty() && !ledger_.busy();
     if (drained || last)
     {
--- a/test/call_story-test.cpp
+++ b/test/call_trace-test.cpp
@@ -1,4 +1,4 @@
-#include "entry/call_story.hpp"
+#include "entry/call_trace.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
 
 struct trace_fixture
 {
-    call_story trace{"r1"};
+    call_trace trace{"r1"};
 
     void read(std::string const& text)
     {
