--- a/include/walnutmill/start_lease.hpp
+++ b/include/walnutmill/start_lease.hpp
@@ -48,7 +48,7 @@
 /// is written. This is half of the budget. 72 % of the programs never need more
 /// for their completed and running turns (38 % with a third), and a program
 /// whose coordinator failed has the other half left.
-std::uint64_t start_allowance(std::uint64_t budget);
+std::uint64_t start_escrow(std::uint64_t budget);
 
 /// The durable lease on one partition.
 struct start_lease
@@ -149,7 +149,7 @@
 
     /// Reports that the member list was read. Leases are acquired
     /// \c membership_settle_time after the first call.
-    void members_known();
+    void membership_known();
     /// Acquires, confirms and releases leases; to be called a few times a
     /// second.
     void tick();
@@ -162,7 +162,7 @@
     /// \return the other incarnations whose escrow the first version of an
     /// account has to reserve.
     std::vector<std::string>
-    others_who_may_start(std::string const& partition) const;
+    other_escrow_holders(std::string const& partition) const;
     /// Updates the lease of the partition from a row that the store returned.
     /// \param row null if there is no lease
     void observe(std::string const& partition, stored_row const* row);
@@ -176,7 +176,7 @@
     /// Records that the program was started without an account.
     void record_started(program_id const& program);
     /// Records that the program has an account.
-    void account_seen(program_id const& program);
+    void record_account(program_id const& program);
     /// Confirms the lease: this node wrote an account under that version.
     /// \param requested_at when the write was sent
     void confirm_held(
--- a/src/entry/budget_service.cpp
+++ b/src/entry/budget_service.cpp
@@ -46,10 +46,10 @@
     return admission_answer::store_unavailable;
 }
 
-home_options coordinator_options_of(double own_strength)
+coordinator_options coordinator_options_of(double own_capacity_weight)
 {
-    home_options to;
-    to.own_strength = own_strength;
+    coordinator_options to;
+    to.own_capacity_weight = own_capacity_weight;
     return to;
 }
 
@@ -105,15 +105,16 @@
 budget_service::budget_service(
     boost::asio::io_context& io, program_ledger& ledger, clock_fn clock,
     std::string self, std::string incarnation, budget_service_options options,
-    double own_strength)
+    double own_capacity_weight)
     : io_(io), ledger_(ledger), clock_(std::move(clock)), caller_(io),
-      coordinators_(std::move(self), coordinator_options_of(own_strength)),
+      coordinators_(
+          std::move(self), coordinator_options_of(own_capacity_weight)),
       cache_locations_(clock_), incarnation_(std::move(incarnation)),
       options_(options)
 {
 }
 
-void budget_service::set_nodes(std::vector<home_candidate> others)
+void budget_service::set_nodes(std::vector<coordinator_candidate> others)
 {
     coordinators_.set_nodes(std::move(others));
 }
@@ -148,8 +149,8 @@
 void budget_service::admit(
     admission_request const& request, answer_fn const& answer)
 {
-    auto const* coordinator =
-        coordinators_.home_of(partition_of(request.program.str()), clock_());
+    auto const* coordinator = coordinators_.coordinator_of(
+        partition_of(request.program.str()), clock_());
     if (coordinator == nullptr)
     {
         admit_locally(
@@ -208,7 +209,7 @@
                 answer(answer_of(answer_text), std::move(granted));
                 return;
             }
-            coordinators_.did_not_answer(requested.coordinator, clock_());
+            coordinators_.mark_unresponsive(requested.coordinator, clock_());
             // The coordinator may have admitted the turn nevertheless.
             if (reply.sent)
                 send_settlement(requested, 0, std::nullopt, 1);
@@ -254,7 +255,7 @@
 
 bool budget_service::is_coordinator_of(std::string const& key) const
 {
-    return coordinators_.home_of(key, clock_()) == nullptr;
+    return coordinators_.coordinator_of(key, clock_()) == nullptr;
 }
 
 bool budget_service::is_request(std::string_view target)
--- a/src/entry/budget_service.hpp
+++ b/src/entry/budget_service.hpp
@@ -14,7 +14,7 @@
 
 #include "entry/http_caller.hpp"
 #include "entry/prefix_locations.hpp"
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -79,14 +79,14 @@
     /// \param ledger must outlive the service
     /// \param self name of this node
     /// \param incarnation unique id of this node's process, never reused
-    /// \param own_strength capacity weight of this node, in cores
+    /// \param own_capacity_weight capacity weight of this node, in cores
     budget_service(
         boost::asio::io_context& io, program_ledger& ledger, clock_fn clock,
         std::string self, std::string incarnation,
-        budget_service_options options = {}, double own_strength = 1);
+        budget_service_options options = {}, double own_capacity_weight = 1);
 
     /// \param others the other nodes that may be coordinators
-    void set_nodes(std::vector<home_candidate> others);
+    void set_nodes(std::vector<coordinator_candidate> others);
 
     /// Requests a turn from the program's coordinator or, if that does not
     /// reply in time, from this node's ledger.
@@ -165,7 +165,7 @@
     program_ledger& ledger_;
     clock_fn clock_;
     http_caller caller_;
-    program_homes coordinators_;
+    program_coordinators coordinators_;
     prefix_locations cache_locations_;
     std::string incarnation_;
     budget_service_options options_;
--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -322,14 +322,15 @@
 void entry_node::set_members(std::vector<entry_member> const& members)
 {
     std::vector<std::string> relay_addresses;
-    std::vector<home_candidate> coordinators;
-    std::map<std::string, std::vector<home_candidate>> by_domain;
+    std::vector<coordinator_candidate> coordinators;
+    std::map<std::string, std::vector<coordinator_candidate>> by_domain;
     live_incarnations_.clear();
     for (auto const& one : members)
     {
         live_incarnations_.insert(one.incarnation);
         relay_addresses.push_back(one.address);
-        home_candidate const coordinator{one.node, one.address, one.strength};
+        coordinator_candidate const coordinator{
+            one.node, one.address, one.strength};
         coordinators.push_back(coordinator);
         by_domain[one.domain].push_back(coordinator);
     }
@@ -337,7 +338,7 @@
     loads_.set_nodes(coordinators);
     quotas_.set_nodes(coordinators);
     budgets_.set_nodes(std::move(coordinators));
-    leases_.members_known();
+    leases_.membership_known();
     services_.nodes = static_cast<std::uint32_t>(members.size() + 1);
     store_.set_relays(std::move(relay_addresses));
 }
--- a/src/entry/history_exchange.cpp
+++ b/src/entry/history_exchange.cpp
@@ -82,7 +82,7 @@
 }
 
 void history_exchange::set_nodes(
-    std::map<std::string, std::vector<home_candidate>> others)
+    std::map<std::string, std::vector<coordinator_candidate>> others)
 {
     others[domain_];
     for (auto it = domain_coordinators_.begin();
@@ -93,7 +93,7 @@
     {
         // This node is a candidate coordinator in its own domain only.
         auto const self = domain == domain_ ? self_ : std::string();
-        domain_coordinators_.emplace(domain, program_homes(self))
+        domain_coordinators_.emplace(domain, program_coordinators(self))
             .first->second.set_nodes(std::move(nodes));
     }
 }
@@ -105,7 +105,7 @@
     auto const own = domain_coordinators_.find(domain_);
     auto const* peer = own == domain_coordinators_.end()
                            ? nullptr
-                           : own->second.home_of(group, clock_());
+                           : own->second.coordinator_of(group, clock_());
     if (peer == nullptr)
     {
         request_from_other_domains(group, last, done);
@@ -149,7 +149,7 @@
     {
         if (domain == domain_)
             continue;
-        if (auto const* peer = coordinators.home_of(group, clock_()))
+        if (auto const* peer = coordinators.coordinator_of(group, clock_()))
         {
             ++all->pending;
             request_from_peer(*peer, last, answered);
@@ -159,7 +159,7 @@
 }
 
 void history_exchange::request_from_peer(
-    home_candidate const& peer, request_id const& last,
+    coordinator_candidate const& peer, request_id const& last,
     std::function<void()> const& done)
 {
     caller_.call(
@@ -176,7 +176,7 @@
                 if (answered)
                     coordinators.answered(node);
                 else
-                    coordinators.did_not_answer(node, clock_());
+                    coordinators.mark_unresponsive(node, clock_());
             }
             if (answered)
             {
@@ -193,7 +193,7 @@
     auto const own = domain_coordinators_.find(domain_);
     auto const* peer = own == domain_coordinators_.end()
                            ? nullptr
-                           : own->second.home_of(group, clock_());
+                           : own->second.coordinator_of(group, clock_());
     if (peer == nullptr)
         return;
     // If the request fails, the turn is read from the store when needed.
--- a/src/entry/history_exchange.hpp
+++ b/src/entry/history_exchange.hpp
@@ -22,7 +22,7 @@
 #include <walnutmill/turn_history.hpp>
 
 #include "entry/http_caller.hpp"
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -59,7 +59,8 @@
 
     /// Replaces the set of nodes.
     /// \param others the other nodes by failure domain
-    void set_nodes(std::map<std::string, std::vector<home_candidate>> others);
+    void
+    set_nodes(std::map<std::string, std::vector<coordinator_candidate>> others);
 
     /// \return true if serve() handles the path.
     static bool is_request(std::string_view target);
@@ -77,7 +78,7 @@
         std::string const& group, request_id const& last,
         std::function<void()> const& done);
     void request_from_peer(
-        home_candidate const& peer, request_id const& last,
+        coordinator_candidate const& peer, request_id const& last,
         std::function<void()> const& done);
     void request_from_other_domains(
         std::string const& group, request_id const& last,
@@ -90,7 +91,7 @@
     std::string self_;
     std::string domain_;
     /// Nodes of each failure domain; the local domain includes this node.
-    std::map<std::string, program_homes> domain_coordinators_;
+    std::map<std::string, program_coordinators> domain_coordinators_;
     history_exchange_options options_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/entry/load_exchange.cpp
+++ b/src/entry/load_exchange.cpp
@@ -45,11 +45,11 @@
 /// Key whose coordinator is the load aggregator.
 constexpr char const* aggregator_key = "load-summary";
 
-home_options aggregator_options(double own_strength)
+coordinator_options aggregator_options(double own_capacity_weight)
 {
-    home_options options;
-    options.own_strength = own_strength;
-    options.strength_power = single_duty_power;
+    coordinator_options options;
+    options.own_capacity_weight = own_capacity_weight;
+    options.capacity_exponent = single_duty_exponent;
     return options;
 }
 
@@ -57,11 +57,12 @@
 
 load_exchange::load_exchange(
     asio::io_context& io, engine_balancer& balancer, clock_fn clock,
-    std::string self, double own_strength, std::chrono::milliseconds interval)
+    std::string self, double own_capacity_weight,
+    std::chrono::milliseconds interval)
     : balancer_(balancer), clock_(std::move(clock)), self_(self),
-      coordinators_(std::move(self), aggregator_options(own_strength)), io_(io),
-      socket_(io), timer_(io), choice_timer_(io), shortest_interval_(interval),
-      interval_(interval)
+      coordinators_(std::move(self), aggregator_options(own_capacity_weight)),
+      io_(io), socket_(io), timer_(io), choice_timer_(io),
+      shortest_interval_(interval), interval_(interval)
 {
 }
 
@@ -89,7 +90,7 @@
     return true;
 }
 
-void load_exchange::set_nodes(std::vector<home_candidate> others)
+void load_exchange::set_nodes(std::vector<coordinator_candidate> others)
 {
     constexpr int ms_per_s = 1'000;
     auto const nodes = static_cast<int>(others.size()) + 1;
@@ -148,15 +149,15 @@
 }
 
 /// \return null if this node is the load aggregator.
-home_candidate const* load_exchange::find_aggregator(time_point now)
+coordinator_candidate const* load_exchange::find_aggregator(time_point now)
 {
     if (!pending_reports_.empty() &&
         now - pending_reports_.front().sent_at > aggregator_timeout)
     {
-        coordinators_.did_not_answer(aggregator_name_, now);
+        coordinators_.mark_unresponsive(aggregator_name_, now);
         pending_reports_.clear();
     }
-    auto const* node = coordinators_.home_of(aggregator_key, now);
+    auto const* node = coordinators_.coordinator_of(aggregator_key, now);
     if (node == nullptr || node->node != aggregator_name_)
         pending_reports_.clear();
     aggregator_name_ = node == nullptr ? std::string() : node->node;
@@ -165,7 +166,8 @@
 
 /// \return false if the report could not be sent.
 bool load_exchange::send(
-    home_candidate const& to, std::uint64_t number, load_report const& own)
+    coordinator_candidate const& to, std::uint64_t number,
+    load_report const& own)
 {
     auto const endpoint = endpoint_of(to.address);
     if (!endpoint)
--- a/src/entry/load_exchange.hpp
+++ b/src/entry/load_exchange.hpp
@@ -15,7 +15,7 @@
 #include <walnutmill/engine_balancer.hpp>
 
 #include "entry/load_summary.hpp"
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -42,12 +42,12 @@
 class load_exchange
 {
 public:
-    /// \param own_strength capacity weight of this node: its processor share,
-    /// in cores
-    /// \param interval shortest interval between periodic reports
+    /// \param own_capacity_weight capacity weight of this node: its processor
+    /// share, in cores \param interval shortest interval between periodic
+    /// reports
     load_exchange(
         boost::asio::io_context& io, engine_balancer& balancer, clock_fn clock,
-        std::string self, double own_strength = 1,
+        std::string self, double own_capacity_weight = 1,
         std::chrono::milliseconds interval = default_report_interval);
     ~load_exchange();
     load_exchange(load_exchange const&) = delete;
@@ -58,7 +58,7 @@
     bool listen(std::string const& address);
     /// Replaces the list of the other nodes. The report interval grows with
     /// their number.
-    void set_nodes(std::vector<home_candidate> others);
+    void set_nodes(std::vector<coordinator_candidate> others);
     /// Closes the socket, stops periodic reports and runs the waiting choices.
     void stop();
 
@@ -102,15 +102,16 @@
     void answer(load_message const& request);
     void apply_sum(load_report const& sum, engine_counts const& own);
     void run_waiting_choices();
-    home_candidate const* find_aggregator(time_point now);
+    coordinator_candidate const* find_aggregator(time_point now);
     bool send(
-        home_candidate const& to, std::uint64_t number, load_report const& own);
+        coordinator_candidate const& to, std::uint64_t number,
+        load_report const& own);
     load_report own_report() const;
 
     engine_balancer& balancer_;
     clock_fn clock_;
     std::string self_;
-    program_homes coordinators_;
+    program_coordinators coordinators_;
     load_summary summary_;
     boost::asio::io_context& io_;
     boost::asio::ip::udp::socket socket_;
--- a/src/entry/platform_view.cpp
+++ b/src/entry/platform_view.cpp
@@ -49,11 +49,11 @@
 /// Maximum age of another node's read, in read intervals.
 constexpr double max_read_age_intervals = 1.5;
 
-home_options reader_options(entry_member const& self)
+coordinator_options reader_options(entry_member const& self)
 {
-    home_options options;
-    options.own_strength = self.strength;
-    options.strength_power = single_duty_power;
+    coordinator_options options;
+    options.own_capacity_weight = self.strength;
+    options.capacity_exponent = single_duty_exponent;
     return options;
 }
 
@@ -495,7 +495,7 @@
             members->begin(), members->end(),
             [this](entry_member const& one) { return one.node == self_.node; }),
         members->end());
-    std::vector<home_candidate> neighbors;
+    std::vector<coordinator_candidate> neighbors;
     for (auto const& one : *members)
     {
         if (one.domain == self_.domain)
@@ -533,7 +533,7 @@
 void platform_view::ask_peer()
 {
     schedule(query_interval(), ask_timer_, &platform_view::ask_peer);
-    auto const* reader = reader_.home_of(reader_key, clock_());
+    auto const* reader = reader_.coordinator_of(reader_key, clock_());
     if (reader == nullptr || !hooks_.ask)
         return;
     section_query query;
@@ -547,7 +547,7 @@
 }
 
 void platform_view::on_peer_answer(
-    home_candidate const& peer, std::optional<std::string> const& answer,
+    coordinator_candidate const& peer, std::optional<std::string> const& answer,
     time_point asked_at)
 {
     auto const now = clock_();
@@ -567,7 +567,7 @@
         }
         return;
     }
-    reader_.did_not_answer(peer.node, now);
+    reader_.mark_unresponsive(peer.node, now);
     following_until_ = {};
     // Otherwise own reads are already scheduled.
     if (!was_following)
--- a/src/entry/platform_view.hpp
+++ b/src/entry/platform_view.hpp
@@ -21,7 +21,7 @@
 #include "entry/engine_roster.hpp"
 #include "entry/line_log.hpp"
 #include "entry/member_roster.hpp"
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -157,8 +157,8 @@
 
     void ask_peer();
     void on_peer_answer(
-        home_candidate const& peer, std::optional<std::string> const& answer,
-        time_point asked_at);
+        coordinator_candidate const& peer,
+        std::optional<std::string> const& answer, time_point asked_at);
     peer_answer_outcome
     apply_peer_answer(std::string_view bytes, time_point asked_at);
     void log_members(std::vector<entry_member> const& members);
@@ -187,7 +187,7 @@
     member_roster members_;
     std::unordered_map<std::string, decoded_row> decoded_engines_;
     /// Selects the reader of the own failure domain.
-    program_homes reader_;
+    program_coordinators reader_;
     /// Until then the reader's answers replace own reads.
     time_point following_until_{};
     std::set<std::string> member_names_;
--- a/src/entry/program_home.cpp
+++ b/src/entry/program_coordinators.cpp
@@ -1,4 +1,4 @@
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <walnutmill/hash.hpp>
 
@@ -22,20 +22,21 @@
 
 } // namespace
 
-program_homes::program_homes(std::string self, home_options options)
+program_coordinators::program_coordinators(
+    std::string self, coordinator_options options)
     : self_(std::move(self)), options_(options), self_seed_(stable_hash(self_))
 {
 }
 
-double program_homes::hash_weight(double capacity_weight) const
+double program_coordinators::hash_weight(double capacity_weight) const
 {
     return std::pow(
         std::max(capacity_weight, min_capacity_weight),
-        options_.strength_power);
+        options_.capacity_exponent);
 }
 
 /// \return a negative score; the node with the highest score ranks first.
-double program_homes::score(
+double program_coordinators::score(
     std::string_view key, std::uint64_t seed, double weight) const
 {
     // Maps the upper 53 bits of the hash to a uniform number between 0 and 1,
@@ -47,7 +48,7 @@
     return std::log((bits + 0.5) * scale) / weight;
 }
 
-void program_homes::set_nodes(std::vector<home_candidate> others)
+void program_coordinators::set_nodes(std::vector<coordinator_candidate> others)
 {
     others_ = std::move(others);
     knows_nodes_ = true;
@@ -61,11 +62,12 @@
     }
 }
 
-program_homes::ranking
-program_homes::rank(std::string_view key, std::size_t limit) const
+program_coordinators::ranking
+program_coordinators::rank(std::string_view key, std::size_t limit) const
 {
     std::vector<std::pair<double, std::uint32_t>> higher_ranked;
-    auto const own = score(key, self_seed_, hash_weight(options_.own_strength));
+    auto const own =
+        score(key, self_seed_, hash_weight(options_.own_capacity_weight));
     for (std::uint32_t i = 0; i < others_.size(); ++i)
     {
         auto const one = score(key, seeds_[i], weights_[i]);
@@ -85,8 +87,8 @@
     return result;
 }
 
-home_candidate const*
-program_homes::first_available(ranking const& order, time_point now) const
+coordinator_candidate const* program_coordinators::first_available(
+    ranking const& order, time_point now) const
 {
     for (auto const at : order.nodes)
     {
@@ -97,8 +99,8 @@
     return nullptr;
 }
 
-program_homes::ranking const&
-program_homes::cached_ranking(std::string_view key) const
+program_coordinators::ranking const&
+program_coordinators::cached_ranking(std::string_view key) const
 {
     auto found = rankings_.find(std::string(key));
     if (found == rankings_.end())
@@ -112,8 +114,8 @@
     return found->second;
 }
 
-home_candidate const*
-program_homes::home_of(std::string_view key, time_point now) const
+coordinator_candidate const*
+program_coordinators::coordinator_of(std::string_view key, time_point now) const
 {
     auto const& order = cached_ranking(key);
     auto const* first = first_available(order, now);
@@ -122,17 +124,18 @@
     return first_available(rank(key, others_.size()), now);
 }
 
-bool program_homes::is_first(std::string_view key) const
+bool program_coordinators::is_top_ranked(std::string_view key) const
 {
     return cached_ranking(key).nodes.empty();
 }
 
-void program_homes::did_not_answer(std::string const& node, time_point now)
+void program_coordinators::mark_unresponsive(
+    std::string const& node, time_point now)
 {
-    unresponsive_until_[node] = now + options_.passed_over_for;
+    unresponsive_until_[node] = now + options_.unresponsive_skip_time;
 }
 
-void program_homes::answered(std::string const& node)
+void program_coordinators::answered(std::string const& node)
 {
     unresponsive_until_.erase(node);
 }
--- a/src/entry/program_home.hpp
+++ b/src/entry/program_coordinators.hpp
@@ -1,5 +1,5 @@
-#ifndef WALNUTMILL_SRC_ENTRY_PROGRAM_HOME_HPP
-#define WALNUTMILL_SRC_ENTRY_PROGRAM_HOME_HPP
+#ifndef WALNUTMILL_SRC_ENTRY_PROGRAM_COORDINATORS_HPP
+#define WALNUTMILL_SRC_ENTRY_PROGRAM_COORDINATORS_HPP
 
 /// \file
 /// Selects the coordinator of a key: the one node that performs a duty for all
@@ -31,7 +31,7 @@
 {
 
 /// A node that can be selected as coordinator.
-struct home_candidate
+struct coordinator_candidate
 {
     std::string node;
     /// IP:PORT at which other nodes reach it.
@@ -40,45 +40,47 @@
     double capacity_weight = 1;
 };
 
-struct home_options
+struct coordinator_options
 {
     /// How long a coordinator that did not answer is skipped. A frozen or
     /// partitioned node costs each program one timeout in that time.
-    duration passed_over_for = std::chrono::seconds(2);
+    duration unresponsive_skip_time = std::chrono::seconds(2);
     /// Processor share of this node, in cores.
-    double own_strength = 1;
+    double own_capacity_weight = 1;
     /// The hash weight of a node is its capacity weight raised to this power.
     /// 1 distributes many duties in proportion to capacity; a higher value
     /// keeps a single duty off weak nodes.
-    double strength_power = 1;
+    double capacity_exponent = 1;
 };
 
 /// Exponent of the capacity weight for a duty that a single node performs.
-constexpr double single_duty_power = 4;
+constexpr double single_duty_exponent = 4;
 
 /// Selects coordinators among this node and the other nodes it knows.
-class program_homes
+class program_coordinators
 {
 public:
     /// \param self name of this node; empty if it is never the coordinator
-    explicit program_homes(std::string self, home_options options = {});
+    explicit program_coordinators(
+        std::string self, coordinator_options options = {});
 
     /// Replaces the list of the other nodes.
-    void set_nodes(std::vector<home_candidate> others);
+    void set_nodes(std::vector<coordinator_candidate> others);
     /// \return false until \c set_nodes was called. Until then this node
     /// selects itself for all keys.
     bool knows_nodes() const { return knows_nodes_; }
 
     /// \param key identifies the duty, for example a partition of the store
     /// \return the coordinator of the key; null if it is this node.
-    home_candidate const* home_of(std::string_view key, time_point now) const;
+    coordinator_candidate const*
+    coordinator_of(std::string_view key, time_point now) const;
 
     /// \return true if this node ranks first for the key among all nodes,
     /// including those that are skipped.
-    bool is_first(std::string_view key) const;
+    bool is_top_ranked(std::string_view key) const;
 
-    /// Skips the node for \c passed_over_for.
-    void did_not_answer(std::string const& node, time_point now);
+    /// Skips the node for \c unresponsive_skip_time.
+    void mark_unresponsive(std::string const& node, time_point now);
     /// Stops skipping the node.
     void answered(std::string const& node);
 
@@ -95,14 +97,14 @@
     double score(std::string_view key, std::uint64_t seed, double weight) const;
     double hash_weight(double capacity_weight) const;
     ranking rank(std::string_view key, std::size_t limit) const;
-    home_candidate const*
+    coordinator_candidate const*
     first_available(ranking const& order, time_point now) const;
     ranking const& cached_ranking(std::string_view key) const;
 
     std::string self_;
-    home_options options_;
+    coordinator_options options_;
     std::uint64_t self_seed_;
-    std::vector<home_candidate> others_;
+    std::vector<coordinator_candidate> others_;
     /// Hash of the name and hash weight of each node in \c others_.
     std::vector<std::uint64_t> seeds_;
     std::vector<double> weights_;
--- a/src/entry/program_ledger.cpp
+++ b/src/entry/program_ledger.cpp
@@ -175,8 +175,8 @@
     if (leases_ == nullptr)
         return made;
     auto const partition = partition_of(program.str());
-    for (auto const& holder : leases_->others_who_may_start(partition))
-        made.reserved[holder] = {start_allowance(state.budget), 0};
+    for (auto const& holder : leases_->other_escrow_holders(partition))
+        made.reserved[holder] = {start_escrow(state.budget), 0};
     return made;
 }
 
@@ -337,8 +337,7 @@
     if (may_start)
     {
         leases_->record_started(program);
-        state.reserved =
-            std::max(state.reserved, start_allowance(state.budget));
+        state.reserved = std::max(state.reserved, start_escrow(state.budget));
         answer_decided_turns(state);
     }
     answer_all(state, admission_answer::store_unavailable);
@@ -376,7 +375,7 @@
     program_id const& program, program_state& state, stored_row const* row)
 {
     if (row != nullptr && leases_ != nullptr)
-        leases_->account_seen(program);
+        leases_->record_account(program);
     auto const version = row != nullptr ? row->version : 0;
     if (row != nullptr)
         state.account =
--- a/src/entry/quota_exchange.cpp
+++ b/src/entry/quota_exchange.cpp
@@ -17,12 +17,13 @@
 /// Retry-after time while no coordinator is reachable.
 constexpr std::chrono::milliseconds undecided_retry_after{150};
 
-home_options placement_options(double own_strength, duration passed_over_for)
+coordinator_options
+placement_options(double own_capacity_weight, duration unresponsive_skip_time)
 {
-    home_options result;
-    result.passed_over_for = passed_over_for;
-    result.own_strength = own_strength;
-    result.strength_power = single_duty_power;
+    coordinator_options result;
+    result.unresponsive_skip_time = unresponsive_skip_time;
+    result.own_capacity_weight = own_capacity_weight;
+    result.capacity_exponent = single_duty_exponent;
     return result;
 }
 
@@ -41,12 +42,12 @@
 } // namespace
 
 quota_exchange::quota_exchange(
-    clock_fn clock, std::string self, double own_strength, quota_bounds bounds,
-    hooks callbacks, quota_exchange_options options)
+    clock_fn clock, std::string self, double own_capacity_weight,
+    quota_bounds bounds, hooks callbacks, quota_exchange_options options)
     : clock_(std::move(clock)), self_(self), coordinator_(bounds),
       placement_(
           std::move(self),
-          placement_options(own_strength, options.skip_unreachable_for)),
+          placement_options(own_capacity_weight, options.skip_unreachable_for)),
       hooks_(std::move(callbacks)), options_(options)
 {
 }
@@ -56,7 +57,7 @@
     *alive_ = false;
 }
 
-void quota_exchange::set_nodes(std::vector<home_candidate> others)
+void quota_exchange::set_nodes(std::vector<coordinator_candidate> others)
 {
     std::map<std::string, std::string> still_unreachable;
     for (auto const& candidate : others)
@@ -71,7 +72,7 @@
 bool quota_exchange::is_preferred_coordinator_of(
     workspace_name const& owner) const
 {
-    return placement_.is_first(group_key(owner));
+    return placement_.is_top_ranked(group_key(owner));
 }
 
 quota_message quota_exchange::make_message(quota_message_type type) const
@@ -101,7 +102,7 @@
     quota_message message, int candidates_left, answer_fn done)
 {
     auto const* coordinator =
-        placement_.home_of(group_key(message.request.owner), clock_());
+        placement_.coordinator_of(group_key(message.request.owner), clock_());
     if (coordinator == nullptr)
     {
         done(decide_locally(message), {});
@@ -188,9 +189,9 @@
         std::move(pending.done));
 }
 
-void quota_exchange::mark_unreachable(home_candidate const& node)
+void quota_exchange::mark_unreachable(coordinator_candidate const& node)
 {
-    placement_.did_not_answer(node.node, clock_());
+    placement_.mark_unresponsive(node.node, clock_());
     auto const is_new = unreachable_.emplace(node.node, node.address).second;
     if (is_new && hooks_.on_reachability_change)
         hooks_.on_reachability_change(node.node, false);
@@ -207,7 +208,8 @@
 
 void quota_exchange::refund(workspace_name const& owner)
 {
-    auto const* coordinator = placement_.home_of(group_key(owner), clock_());
+    auto const* coordinator =
+        placement_.coordinator_of(group_key(owner), clock_());
     if (coordinator == nullptr)
     {
         coordinator_.refund(owner);
@@ -280,8 +282,9 @@
 {
     auto const now = clock_();
     coordinator_.erase_if(
-        [this, now](workspace_name const& owner)
-        { return placement_.home_of(group_key(owner), now) != nullptr; });
+        [this, now](workspace_name const& owner) {
+            return placement_.coordinator_of(group_key(owner), now) != nullptr;
+        });
     coordinator_.tick(now, hooks_.reachable_share());
     if (unreachable_.empty() || now - last_ping_ < options_.ping_interval)
         return;
--- a/src/entry/quota_exchange.hpp
+++ b/src/entry/quota_exchange.hpp
@@ -22,7 +22,7 @@
 
 #include <walnutmill/quota.hpp>
 
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 #include "entry/quota_message.hpp"
 
 #include <chrono>
@@ -90,7 +90,7 @@
         quota_answer const& answer, std::string const& coordinator)>;
 
     quota_exchange(
-        clock_fn clock, std::string self, double own_strength,
+        clock_fn clock, std::string self, double own_capacity_weight,
         quota_bounds bounds, hooks callbacks,
         quota_exchange_options options = {});
     ~quota_exchange();
@@ -98,7 +98,7 @@
     quota_exchange& operator=(quota_exchange const&) = delete;
 
     /// \param others all members except this node
-    void set_nodes(std::vector<home_candidate> others);
+    void set_nodes(std::vector<coordinator_candidate> others);
     bool knows_nodes() const { return placement_.knows_nodes(); }
     /// \return true if this node comes first in the hash order of the
     /// workspace's coordinators.
@@ -126,7 +126,7 @@
     struct pending_request
     {
         quota_message message;
-        home_candidate candidate;
+        coordinator_candidate candidate;
         int candidates_left = 0;
         answer_fn done;
     };
@@ -138,14 +138,14 @@
     void schedule_timeouts(std::uint64_t request_id, duration timeout);
     void try_next_candidate(std::uint64_t request_id);
     void handle_answer(quota_message const& message);
-    void mark_unreachable(home_candidate const& node);
+    void mark_unreachable(coordinator_candidate const& node);
     void mark_reachable(std::string const& node);
     quota_message make_message(quota_message_type type) const;
 
     clock_fn clock_;
     std::string self_;
     quota_coordinator coordinator_;
-    program_homes placement_;
+    program_coordinators placement_;
     hooks hooks_;
     quota_exchange_options options_;
     std::uint64_t last_request_id_ = 0;
--- a/src/entry/start_lease.cpp
+++ b/src/entry/start_lease.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::uint64_t start_allowance(std::uint64_t budget)
+std::uint64_t start_escrow(std::uint64_t budget)
 {
     return budget / escrow_divisor;
 }
@@ -83,7 +83,7 @@
     return {table_name, partition, row_key};
 }
 
-void start_leases::members_known()
+void start_leases::membership_known()
 {
     if (!membership_known_at_)
         membership_known_at_ = clock_();
@@ -176,7 +176,7 @@
 }
 
 std::vector<std::string>
-start_leases::others_who_may_start(std::string const& partition) const
+start_leases::other_escrow_holders(std::string const& partition) const
 {
     auto const& lease = partitions_.at(partition).lease;
     auto const utc = utc_();
@@ -382,7 +382,7 @@
         emit_event("started_program", partition, program.str());
 }
 
-void start_leases::account_seen(program_id const& program)
+void start_leases::record_account(program_id const& program)
 {
     auto& state = partitions_.at(partition_of(program.str()));
     // Accounts that predate the lease are read once it is held.
--- a/test/budget_service-test.cpp
+++ b/test/budget_service-test.cpp
@@ -55,21 +55,20 @@
 
     budget_service_fixture()
     {
-        std::vector<home_candidate> const others{
+        std::vector<coordinator_candidate> const others{
             {"coordinator",
              "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port())}};
         requester.set_nodes(others);
         patient_requester.set_nodes(others);
-        program_homes const coordinators = [this]
+        program_coordinators const coordinators = [this]
         {
-            program_homes one("requester");
+            program_coordinators one("requester");
             one.set_nodes({{"coordinator", "x:1"}});
             return one;
         }();
-        for (int i = 0;
-             program.empty() ||
-             coordinators.home_of(partition_of(program.str()), clock.now()) ==
-                 nullptr;
+        for (int i = 0; program.empty() || coordinators.coordinator_of(
+                                               partition_of(program.str()),
+                                               clock.now()) == nullptr;
              ++i)
             program = program_id("p" + std::to_string(i));
         accept();
--- a/test/program_home-test.cpp
+++ b/test/program_coordinators-test.cpp
@@ -1,4 +1,4 @@
-#include "entry/program_home.hpp"
+#include "entry/program_coordinators.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -16,10 +16,10 @@
 {
     manual_clock clock;
 
-    static program_homes node(std::string const& self, int nodes)
+    static program_coordinators node(std::string const& self, int nodes)
     {
-        program_homes coordinators(self);
-        std::vector<home_candidate> others;
+        program_coordinators coordinators(self);
+        std::vector<coordinator_candidate> others;
         for (int i = 0; i < nodes; ++i)
         {
             auto const name = "n" + std::to_string(i);
@@ -31,10 +31,11 @@
     }
 
     std::string coordinator(
-        program_homes const& at, std::string const& self, int program) const
+        program_coordinators const& at, std::string const& self,
+        int program) const
     {
         auto const* found =
-            at.home_of("p" + std::to_string(program), clock.now());
+            at.coordinator_of("p" + std::to_string(program), clock.now());
         return found == nullptr ? self : found->node;
     }
 };
@@ -66,7 +67,7 @@
     while (coordinator(coordinators, "n0", program) == "n0")
         ++program;
     auto const first = coordinator(coordinators, "n0", program);
-    coordinators.did_not_answer(first, clock.now());
+    coordinators.mark_unresponsive(first, clock.now());
     CHECK(coordinator(coordinators, "n0", program) != first);
     clock.advance(seconds(3));
     CHECK(coordinator(coordinators, "n0", program) == first);
@@ -89,13 +90,13 @@
 
     static bool is_strong(std::string const& node) { return node[0] == 's'; }
 
-    static program_homes with_power(double power)
+    static program_coordinators with_power(double power)
     {
-        home_options options;
-        options.own_strength = 0.12;
-        options.strength_power = power;
-        program_homes result("w0", options);
-        std::vector<home_candidate> others;
+        coordinator_options options;
+        options.own_capacity_weight = 0.12;
+        options.capacity_exponent = power;
+        program_coordinators result("w0", options);
+        std::vector<coordinator_candidate> others;
         others.reserve(294);
         for (int i = 0; i < 54; ++i)
             others.push_back({"s" + std::to_string(i), "10.0.0.1:1", 0.5});
@@ -106,13 +107,13 @@
     }
 
     /// \return how many of a thousand keys have a strong coordinator
-    int count_strong_coordinators(program_homes const& at) const
+    int count_strong_coordinators(program_coordinators const& at) const
     {
         int strong = 0;
         for (int i = 0; i < 1'000; ++i)
         {
             auto const* coordinator =
-                at.home_of("key" + std::to_string(i), clock.now());
+                at.coordinator_of("key" + std::to_string(i), clock.now());
             strong +=
                 coordinator != nullptr && is_strong(coordinator->node) ? 1 : 0;
         }
@@ -135,20 +136,20 @@
 TEST_CASE_METHOD(
     unequal_capacity_fixture, "homes: a single duty is kept off the weak nodes")
 {
-    CHECK(count_strong_coordinators(with_power(single_duty_power)) > 950);
+    CHECK(count_strong_coordinators(with_power(single_duty_exponent)) > 950);
 }
 
 TEST_CASE_METHOD(
     unequal_capacity_fixture,
     "homes: a node without a capacity weight counts as the weakest")
 {
-    program_homes at("w0", {});
+    program_coordinators at("w0", {});
     at.set_nodes({{"old", "10.0.0.1:1", 0}, {"new", "10.0.0.1:1", 1}});
     int old_node_keys = 0;
     for (int i = 0; i < 1'000; ++i)
     {
         auto const* coordinator =
-            at.home_of("key" + std::to_string(i), clock.now());
+            at.coordinator_of("key" + std::to_string(i), clock.now());
         old_node_keys +=
             coordinator != nullptr && coordinator->node == "old" ? 1 : 0;
     }
@@ -163,13 +164,13 @@
     std::set<std::string> tried;
     for (int i = 0; i < 20; ++i)
     {
-        auto const* coordinator = at.home_of("key", clock.now());
+        auto const* coordinator = at.coordinator_of("key", clock.now());
         if (coordinator == nullptr)
             break;
         CHECK(tried.insert(coordinator->node).second);
-        at.did_not_answer(coordinator->node, clock.now());
+        at.mark_unresponsive(coordinator->node, clock.now());
     }
     CHECK(tried.size() > 4);
     clock.advance(seconds(3));
-    CHECK(tried.count(at.home_of("key", clock.now())->node) == 1);
+    CHECK(tried.count(at.coordinator_of("key", clock.now())->node) == 1);
 }
--- a/test/quota_cluster.cpp
+++ b/test/quota_cluster.cpp
@@ -64,7 +64,7 @@
     hooks.reachable_share = [this, index] { return reachable_share_of(index); };
     state.quotas = std::make_unique<quota_exchange>(
         clock_.fn(), state.name, state.strength, options_.bounds, hooks);
-    std::vector<home_candidate> others;
+    std::vector<coordinator_candidate> others;
     for (std::size_t i = 0; i < nodes_.size(); ++i)
     {
         auto const is_strong = i < options_.strong_nodes;
--- a/test/start_lease-test.cpp
+++ b/test/start_lease-test.cpp
@@ -70,7 +70,7 @@
     {
         // Without a settle time the member list is known from the start.
         if (membership_settle_time == duration(0))
-            leases.members_known();
+            leases.membership_known();
     }
 
     static lease_options lease_options_for(duration membership_settle_time)
@@ -541,7 +541,7 @@
         {[](std::string const&) { return true; },
          [](std::string const&) { return true; },
          {}});
-    leases.members_known();
+    leases.membership_known();
     for (int i = 0; i < 35; ++i)
     {
         leases.tick();
@@ -562,7 +562,7 @@
     node.coordinates = [] { return true; };
     run(node, 10);
     CHECK(store.steps() == 0);
-    node.leases.members_known();
+    node.leases.membership_known();
     run(node, 4);
     CHECK(store.steps() == 0);
     run(node, 4);
@@ -605,7 +605,7 @@
             if (!known_at[i] && since >= milliseconds(40) * static_cast<int>(i))
             {
                 known_at[i] = utc_clock.clock.now();
-                nodes[i]->leases.members_known();
+                nodes[i]->leases.membership_known();
             }
             nodes[i]->leases.tick();
         }
