--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -354,10 +354,10 @@
     { set_members(members); };
     to.ask = [this](
                  std::string const& address, std::string const& query,
-                 platform_view::told_fn const& done)
+                 platform_view::peer_answer_fn const& done)
     { ask_for_sections(address, query, done); };
     to.boot_clock = boot_now;
-    to.on_confirmed = [this] { configuration_confirmed(); };
+    to.on_configuration_confirmed = [this] { configuration_confirmed(); };
     return to;
 }
 
--- a/src/entry/entry_node.hpp
+++ b/src/entry/entry_node.hpp
@@ -67,7 +67,7 @@
     platform_view::hooks view_hooks();
     void ask_for_sections(
         std::string const& address, std::string const& query,
-        platform_view::told_fn const& done);
+        platform_view::peer_answer_fn const& done);
     void answer_sections(link_ptr const& link, request_type const& request);
     void relay_store_call(link_ptr const& link, request_type const& request);
 
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -79,7 +79,7 @@
 {
     // Engines are read separately from the configuration. Until they are known,
     // each call would be refused for lack of an engine.
-    return services_.table && view_.knows_engines() && !services_.stopping &&
+    return services_.table && view_.has_read_engines() && !services_.stopping &&
            clock_() - view_.last_read() < not_ready_after;
 }
 
@@ -135,7 +135,7 @@
 
 void entry_node::ask_for_sections(
     std::string const& address, std::string const& query,
-    platform_view::told_fn const& done)
+    platform_view::peer_answer_fn const& done)
 {
     sections_client_.call(
         address, cbor_bytes_request(sections_path, address, query),
--- a/src/entry/platform_view.cpp
+++ b/src/entry/platform_view.cpp
@@ -134,7 +134,7 @@
                : hooks_.boot_clock() - read_started_at;
 }
 
-bool platform_view::knows_engines() const
+bool platform_view::has_read_engines() const
 {
     return section(cluster_table::engines).known();
 }
@@ -267,8 +267,8 @@
     if (read_started_at <= known.read_started_at)
         return;
     known.read_started_at = read_started_at;
-    if (hooks_.on_confirmed)
-        hooks_.on_confirmed();
+    if (hooks_.on_configuration_confirmed)
+        hooks_.on_configuration_confirmed();
 }
 
 bool platform_view::apply_configuration()
--- a/src/entry/platform_view.hpp
+++ b/src/entry/platform_view.hpp
@@ -42,7 +42,8 @@
 {
 public:
     /// \param answer empty if the node did not answer
-    using told_fn = std::function<void(std::optional<std::string> answer)>;
+    using peer_answer_fn =
+        std::function<void(std::optional<std::string> answer)>;
 
     struct hooks
     {
@@ -53,13 +54,13 @@
         /// Queries another node, whose serve() answers. Null: this node reads
         /// all tables from the store.
         std::function<void(
-            std::string const& address, std::string query, told_fn)>
+            std::string const& address, std::string query, peer_answer_fn)>
             ask{};
         /// Clock that also counts suspended time. Null: the view's clock.
         clock_fn boot_clock{};
         /// Called when the configuration is confirmed to be current as of a
         /// later time than before.
-        std::function<void()> on_confirmed{};
+        std::function<void()> on_configuration_confirmed{};
     };
 
     platform_view(
@@ -86,7 +87,7 @@
     /// duration if it was never read.
     duration configuration_age() const;
     /// \return true once the engines' table was read.
-    bool knows_engines() const;
+    bool has_read_engines() const;
 
     /// Answers another node's query.
     /// \return empty if it cannot be answered
--- a/test/cluster_view-test.cpp
+++ b/test/cluster_view-test.cpp
@@ -126,7 +126,7 @@
         to.boot_clock = [this] { return now() + suspended_for; };
         to.ask = [this, &one](
                      std::string const& address, std::string const& query,
-                     platform_view::told_fn const& done)
+                     platform_view::peer_answer_fn const& done)
         {
             boost::asio::post(
                 io,
