--- a/src/entry/entry_node.cpp
+++ b/src/entry/entry_node.cpp
@@ -206,7 +206,7 @@
     connect_workspaces();
     balancer_.is_connected = [this](target_name const& engine)
     { return links_.has_idle(engine); };
-    loads_.on_rest =
+    loads_.on_ejection =
         [this](target_name const& engine, recent_outcomes const& seen)
     {
         log_.write(
--- a/src/entry/entry_node_workspaces.cpp
+++ b/src/entry/entry_node_workspaces.cpp
@@ -27,9 +27,10 @@
     services_.after_confirmation = [this](std::function<void()> then)
     { return await_confirmation(std::move(then)); };
     services_.quotas = &quotas_;
-    loads_.on_other = [this](
-                          std::string_view bytes,
-                          std::function<void(std::string)> const& reply)
+    loads_.on_other_datagram =
+        [this](
+            std::string_view bytes,
+            std::function<void(std::string)> const& reply)
     {
         if (!quotas_.handle(bytes, reply))
             counters_.count("walnutmill_datagrams_dropped_total");
@@ -56,7 +57,7 @@
 {
     quota_exchange::hooks to;
     to.send = [this](std::string const& address, std::string const& bytes)
-    { loads_.send_other(address, bytes); };
+    { loads_.send_other_datagram(address, bytes); };
     to.schedule_after = [this](duration after, std::function<void()> what)
     { call_later(after, std::move(what)); };
     to.limit_of = [this](workspace_name const& owner)
--- a/src/entry/load_exchange.cpp
+++ b/src/entry/load_exchange.cpp
@@ -287,7 +287,7 @@
     auto const message = decode_load_message(bytes);
     if (!message)
     {
-        if (on_other)
+        if (on_other_datagram)
             handle_other_datagram(bytes);
         return;
     }
@@ -313,7 +313,7 @@
 
 void load_exchange::handle_other_datagram(std::string_view bytes)
 {
-    on_other(
+    on_other_datagram(
         bytes,
         [this, alive = alive_, to = sender_](std::string const& reply)
         {
@@ -323,7 +323,7 @@
         });
 }
 
-void load_exchange::send_other(
+void load_exchange::send_other_datagram(
     std::string const& address, std::string const& bytes)
 {
     auto const endpoint = endpoint_of(address);
@@ -384,8 +384,8 @@
         });
     for (auto const& [engine, recent] : ejected)
     {
-        if (on_rest)
-            on_rest(engine, recent);
+        if (on_ejection)
+            on_ejection(engine, recent);
     }
 }
 
--- a/src/entry/load_exchange.hpp
+++ b/src/entry/load_exchange.hpp
@@ -74,15 +74,16 @@
 
     /// Called when an engine is ejected because calls of all nodes failed
     /// there.
-    std::function<void(target_name const&, recent_outcomes const&)> on_rest;
+    std::function<void(target_name const&, recent_outcomes const&)> on_ejection;
 
     /// Handles datagrams of other protocols that share the address; if null,
     /// they are dropped.
     std::function<void(
         std::string_view bytes, std::function<void(std::string)> const& reply)>
-        on_other;
+        on_other_datagram;
     /// Sends a datagram of another protocol to IP:PORT.
-    void send_other(std::string const& address, std::string const& bytes);
+    void
+    send_other_datagram(std::string const& address, std::string const& bytes);
 
 private:
     /// A report that has not been answered yet.
