--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -92,7 +92,7 @@
     log_fields_["configuration"] = table_->version;
     if (!route_call())
         return;
-    link_->on_gone = [self = shared_from_this()]
+    link_->on_disconnect = [self = shared_from_this()]
     { self->on_caller_disconnected(); };
     arm_deadline();
     check_identity();
@@ -424,7 +424,7 @@
         return;
     }
     log_fields_["why"] = why;
-    link_->on_gone = {};
+    link_->on_disconnect = {};
     link_->abort();
     finish("broken off", true);
 }
@@ -439,7 +439,7 @@
     stall_timer_.cancel();
     if (outcome != "broken off" && !caller_disconnected_)
         link_->finish_answer(node_.stopping);
-    link_->on_gone = {};
+    link_->on_disconnect = {};
     log_fields_["outcome"] = outcome;
     log_fields_["tokens"] = delivered_tokens_;
     log_fields_["sends"] = sends_;
--- a/src/entry/call_flow.hpp
+++ b/src/entry/call_flow.hpp
@@ -112,7 +112,7 @@
         duration silence_timeout{0};
         engine_answer answer;
         std::string body;
-        event_cutter events;
+        event_splitter events;
         /// The response head has arrived and says that the engine runs the
         /// call.
         bool accepted_by_engine = false;
--- a/src/entry/call_stalls.cpp
+++ b/src/entry/call_stalls.cpp
@@ -32,7 +32,7 @@
         return;
     }
     node_.balancer.call_stalled(one->at.ref());
-    node_.links.drop_idle(one->at.engine);
+    node_.links.close_idle(one->at.engine);
     auto const retries = may_abandon(one);
     log_failed_attempt(one, retries ? "stalled, left" : "stalled, waits on");
     if (!retries)
--- a/src/entry/caller_link.cpp
+++ b/src/entry/caller_link.cpp
@@ -190,7 +190,7 @@
 void caller_link::finish_answer(bool close)
 {
     answering_ = false;
-    on_gone = {};
+    on_disconnect = {};
     if (ended_)
         return;
     close_after_answer_ = close_after_answer_ || close || wants_close_;
@@ -224,7 +224,7 @@
     read();
 }
 
-void caller_link::retire()
+void caller_link::close_when_idle()
 {
     if (idle())
         end_gracefully();
@@ -234,7 +234,7 @@
 
 void caller_link::abort()
 {
-    on_gone = {};
+    on_disconnect = {};
     answering_ = false;
     if (in_flight_.empty() && outgoing_.empty())
     {
@@ -277,8 +277,8 @@
 
 void caller_link::handle_disconnect()
 {
-    auto const notify = std::move(on_gone);
-    on_gone = {};
+    auto const notify = std::move(on_disconnect);
+    on_disconnect = {};
     close_socket();
     if (notify)
         notify();
--- a/src/entry/caller_link.hpp
+++ b/src/entry/caller_link.hpp
@@ -60,7 +60,7 @@
     void abort();
 
     /// Called once if the caller disconnects before its answer is complete.
-    std::function<void()> on_gone;
+    std::function<void()> on_disconnect;
 
     /// \return true while no request is being read or answered and all of the
     /// last answer has been written.
@@ -75,7 +75,7 @@
     std::size_t unsent() const { return outgoing_.size() + in_flight_.size(); }
     /// Closes the connection at once if it is idle, and after the current
     /// answer otherwise.
-    void retire();
+    void close_when_idle();
 
 private:
     using error_code = boost::system::error_code;
--- a/src/entry/engine_links.cpp
+++ b/src/entry/engine_links.cpp
@@ -100,7 +100,7 @@
            usable(*found->second.idle.back(), clock_type::now());
 }
 
-void engine_links::drop_idle(target_name const& engine)
+void engine_links::close_idle(target_name const& engine)
 {
     auto const found = engines_.find(engine);
     if (found == engines_.end())
@@ -112,7 +112,7 @@
 
 void engine_links::close_former_incarnations(target_name const& engine)
 {
-    drop_idle(engine);
+    close_idle(engine);
     auto const found = engines_.find(engine);
     if (found == engines_.end())
         return;
--- a/src/entry/engine_links.hpp
+++ b/src/entry/engine_links.hpp
@@ -51,7 +51,7 @@
 
     /// Closes the idle connections to an engine. Called after one connection
     /// stopped responding, since the others may have failed with it.
-    void drop_idle(target_name const& engine);
+    void close_idle(target_name const& engine);
 
     /// Closes all connections to the engine's former incarnations. Calls on
     /// them end as broken at once instead of waiting for the callers' timeouts,
--- a/src/entry/engine_roster.hpp
+++ b/src/entry/engine_roster.hpp
@@ -41,7 +41,7 @@
     void confirm(time_point read_at);
 
     /// \return true while engines without an entry are retained.
-    bool keeps_absent() const { return retains_missing_; }
+    bool retains_missing() const { return retains_missing_; }
 
 private:
     using engines_by_id = std::unordered_map<target_name, engine_entry>;
--- a/src/entry/entry_node_stop.cpp
+++ b/src/entry/entry_node_stop.cpp
@@ -114,7 +114,7 @@
     {
         auto const open = caller_links_;
         for (auto* link : open)
-            link->retire();
+            link->close_when_idle();
     }
     auto const drained = left_cluster_ && services_.calls_in_flight == 0 &&
                          caller_links_.empty() && !ledger_.busy();
--- a/src/entry/event_stream.cpp
+++ b/src/entry/event_stream.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-std::vector<stream_event> event_cutter::feed(std::string_view bytes)
+std::vector<stream_event> event_splitter::feed(std::string_view bytes)
 {
     buffer_.append(bytes);
     std::vector<stream_event> events;
--- a/src/entry/event_stream.hpp
+++ b/src/entry/event_stream.hpp
@@ -25,7 +25,7 @@
 };
 
 /// Buffers received bytes until an event is complete.
-class event_cutter
+class event_splitter
 {
 public:
     /// \return the events completed by these bytes.
--- a/src/entry/platform_view.cpp
+++ b/src/entry/platform_view.cpp
@@ -420,7 +420,7 @@
 {
     engines_.confirm(section(cluster_table::engines).read_at);
     // Engines kept although absent may have expired without a table change.
-    if (engines_.keeps_absent())
+    if (engines_.retains_missing())
         apply_engines();
 }
 
--- a/test/caller_link-test.cpp
+++ b/test/caller_link-test.cpp
@@ -85,7 +85,7 @@
     link->finish_answer(false);
     CHECK(link->unsent() > 0);
     CHECK_FALSE(link->idle());
-    link->retire();
+    link->close_when_idle();
     auto const [size, orderly] = read_all();
     CHECK(size == large_answer_bytes);
     CHECK(orderly);
@@ -96,7 +96,7 @@
 {
     send_request();
     link->write("first ");
-    link->retire();
+    link->close_when_idle();
     link->write("last");
     link->finish_answer(false);
     auto const [size, orderly] = read_all();
@@ -108,7 +108,7 @@
     link_fixture, "caller link: one without a request closes at once")
 {
     CHECK(link->idle());
-    link->retire();
+    link->close_when_idle();
     auto const [size, orderly] = read_all();
     CHECK(size == 0);
     CHECK(orderly);
--- a/test/decoder_fuzz-test.cpp
+++ b/test/decoder_fuzz-test.cpp
@@ -208,7 +208,7 @@
         {"id: 1\ndata: some\n\nid: 2\ndata: more\ndata: lines\n\n"},
         [](std::string const& bytes)
         {
-            event_cutter events;
+            event_splitter events;
             auto const half = bytes.size() / 2;
             events.feed(std::string_view(bytes).substr(0, half));
             events.feed(std::string_view(bytes).substr(half));
--- a/test/entry_world.cpp
+++ b/test/entry_world.cpp
@@ -310,7 +310,7 @@
         calls_.push_back(one);
         handler = handler_;
     }
-    link->on_gone = [this] { ++cancelled_; };
+    link->on_disconnect = [this] { ++cancelled_; };
     if (handler && handler(link, request))
         return;
     std::string const path(request.target());
--- a/test/event_stream-test.cpp
+++ b/test/event_stream-test.cpp
@@ -9,7 +9,7 @@
 
 struct splitter_fixture
 {
-    event_cutter splitter;
+    event_splitter splitter;
 };
 
 } // namespace
