--- a/src/entry/call_flow.cpp
+++ b/src/entry/call_flow.cpp
@@ -389,12 +389,12 @@
 {
     if (done_)
         return;
-    platform::own_answer answer;
+    platform::local_answer answer;
     answer.status = status;
     answer.message = std::string(why);
     answer.retry_after = retry_after;
     answer.id = call_.id;
-    link_->write(platform::encode_own_answer(answer, node_.stopping));
+    link_->write(platform::encode_local_answer(answer, node_.stopping));
     log_fields_["status"] = status;
     log_fields_["why"] = why;
     if (retry_after.count() > 0)
--- a/src/entry/entry_node_answers.cpp
+++ b/src/entry/entry_node_answers.cpp
@@ -30,10 +30,10 @@
 
 std::string text_answer(int status, std::string text)
 {
-    platform::own_answer answer;
+    platform::local_answer answer;
     answer.status = status;
     answer.message = std::move(text);
-    return platform::encode_own_answer(answer, false);
+    return platform::encode_local_answer(answer, false);
 }
 
 } // namespace
@@ -50,10 +50,10 @@
         log_.write(
             log_priority::important, "request.unreadable",
             {{"status", status}, {"why", why}});
-        platform::own_answer answer;
+        platform::local_answer answer;
         answer.status = status;
         answer.message = std::string(why);
-        return platform::encode_own_answer(answer, true);
+        return platform::encode_local_answer(answer, true);
     };
     to.limits = [this]
     { return services_.table ? services_.table->limits : caller_limits(); };
--- a/src/entry/store_client.cpp
+++ b/src/entry/store_client.cpp
@@ -268,9 +268,9 @@
     pending_ptr const& call, store_path const& path, http_reply reply)
 {
     store_reply const answer{reply.status, std::move(reply.body)};
-    auto const turned_away =
-        platform::kind_of(answer) == platform::reply_kind::turned_away;
-    if (reply.answered && !turned_away)
+    auto const server_unavailable =
+        platform::kind_of(answer) == platform::reply_kind::server_unavailable;
+    if (reply.answered && !server_unavailable)
     {
         paths_.succeeded(path, now());
         record_success(call->partition);
@@ -425,7 +425,8 @@
         {
             store_reply const answer{reply.status, reply.body};
             if (!*alive || !reply.answered ||
-                platform::kind_of(answer) == platform::reply_kind::turned_away)
+                platform::kind_of(answer) ==
+                    platform::reply_kind::server_unavailable)
                 return;
             paths_.succeeded({}, now());
             record_success(partition);
@@ -453,8 +454,8 @@
                 return;
             store_reply answer{reply.status, std::move(reply.body)};
             auto const good =
-                reply.answered &&
-                platform::kind_of(answer) != platform::reply_kind::turned_away;
+                reply.answered && platform::kind_of(answer) !=
+                                      platform::reply_kind::server_unavailable;
             if (good)
                 paths_.succeeded({}, now());
             else
