--- a/support/soak_world.cpp
+++ b/support/soak_world.cpp
@@ -107,16 +107,16 @@
     register_engine(engine_c_, "llm");
     for (auto* one : {&engine_a, &engine_b, &engine_c_})
     {
-        one->set_script(
+        one->set_handler(
             [this, one](link_ptr const& link, http_request const& request)
             {
                 answer_turn(link, request, *one);
                 return true;
             });
     }
-    for (auto* one : {&desk_a, &desk_b})
+    for (auto* one : {&service_a, &service_b})
     {
-        one->set_script(
+        one->set_handler(
             [this, one](link_ptr const& link, http_request const& request)
             {
                 answer_plain(link, request, *one);
--- a/test/engine_restart-test.cpp
+++ b/test/engine_restart-test.cpp
@@ -24,8 +24,8 @@
     engine_restart_fixture()
     {
         store.remove("servers", "db");
-        desk_a.set_script([this](link_ptr const&, http_request const&)
-                          { return silent.load(); });
+        service_a.set_handler([this](link_ptr const&, http_request const&)
+                              { return silent.load(); });
     }
 };
 
@@ -38,12 +38,12 @@
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     caller.send(post("/safe/x", "r1"));
-    REQUIRE(comes_true([this] { return desk_a.calls().size() == 1; }));
+    REQUIRE(eventually([this] { return service_a.calls().size() == 1; }));
     silent = false;
-    register_engine(desk_a, "desk", second_start);
+    register_engine(service_a, "desk", second_start);
     auto const got = caller.receive();
     CHECK(got.status == 200);
-    CHECK(desk_a.calls().size() == 2);
+    CHECK(service_a.calls().size() == 2);
 }
 
 TEST_CASE_METHOD(
@@ -53,27 +53,27 @@
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     caller.send(post("/orders/x", "r1"));
-    REQUIRE(comes_true([this] { return desk_a.calls().size() == 1; }));
+    REQUIRE(eventually([this] { return service_a.calls().size() == 1; }));
     silent = false;
-    register_engine(desk_a, "desk", second_start);
+    register_engine(service_a, "desk", second_start);
     auto const got = caller.receive();
     CHECK(got.status == 502);
-    CHECK(desk_a.calls().size() == 1);
+    CHECK(service_a.calls().size() == 1);
 }
 
 TEST_CASE_METHOD(
     engine_restart_fixture,
     "engine restart: a late heartbeat of the former incarnation ends nothing")
 {
-    register_engine(desk_a, "desk", second_start);
+    register_engine(service_a, "desk", second_start);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     caller.send(post("/orders/x", "r1"));
-    REQUIRE(comes_true([this] { return desk_a.calls().size() == 1; }));
-    register_engine(desk_a, "desk", first_start);
+    REQUIRE(eventually([this] { return service_a.calls().size() == 1; }));
+    register_engine(service_a, "desk", first_start);
     std::this_thread::sleep_for(milliseconds(1'200));
     // The node still waits for the call, because its engine is alive.
-    CHECK(desk_a.cancelled_calls() == 0);
+    CHECK(service_a.cancelled_calls() == 0);
     test_caller other(node.settings.listen_callers);
     silent = false;
     CHECK(other.call(post("/safe/x", "r2")).status == 200);
--- a/test/entry_node-test.cpp
+++ b/test/entry_node-test.cpp
@@ -20,18 +20,18 @@
     }
     std::size_t service_calls() const
     {
-        return desk_a.calls().size() + desk_b.calls().size();
+        return service_a.calls().size() + service_b.calls().size();
     }
 
     void set_service_handlers(standin_target::handler_fn const& handler)
     {
-        desk_a.set_script(handler);
-        desk_b.set_script(handler);
+        service_a.set_handler(handler);
+        service_b.set_handler(handler);
     }
     void set_engine_handlers(standin_target::handler_fn const& handler)
     {
-        engine_a.set_script(handler);
-        engine_b.set_script(handler);
+        engine_a.set_handler(handler);
+        engine_b.set_handler(handler);
     }
 };
 
@@ -80,7 +80,7 @@
     entry_fixture, "entry: a call refused by an engine runs on another")
 {
     auto& node = start_node();
-    desk_a.set_script(
+    service_a.set_handler(
         [](link_ptr const& link, http_request const&)
         {
             link->write(standin_target::answer(503, "Not-Executed: 1\r\n", ""));
@@ -157,7 +157,7 @@
     entry_fixture, "entry: an idempotent call goes to another engine")
 {
     auto& node = start_node();
-    desk_a.set_script(
+    service_a.set_handler(
         [](link_ptr const& link, http_request const&)
         {
             standin_target::cut(link);
@@ -355,7 +355,7 @@
     };
     // Once the nodes know each other, neither reads a turn from the store,
     // whichever node a program's turns are reported to.
-    CHECK(comes_true(
+    CHECK(eventually(
         [&]
         {
             constexpr int in_a_row = 8;
@@ -427,7 +427,7 @@
 {
     auto& node = start_node();
     test_caller metrics(node.settings.listen_metrics);
-    REQUIRE(comes_true(
+    REQUIRE(eventually(
         [&]
         {
             auto const got = metrics.call(post("/metrics", "m1"));
@@ -442,7 +442,7 @@
     // A turn that must be stored runs, but does not end before it is durable.
     caller.send(
         turn("k1", "Program-Id: p10\r\nToken-Budget: 900\r\n", "/kept/"));
-    REQUIRE(comes_true([this] { return engine_calls() == 2; }));
+    REQUIRE(eventually([this] { return engine_calls() == 2; }));
     CHECK(store.count("walnutmill-turns") == 0);
     store.set_down(false);
     auto const kept = caller.receive();
@@ -455,7 +455,7 @@
 {
     auto& node = start_node();
     test_caller metrics(node.settings.listen_metrics);
-    REQUIRE(comes_true(
+    REQUIRE(eventually(
         [&]
         {
             auto const got = metrics.call(post("/metrics", "m1"));
@@ -508,7 +508,7 @@
         return caller.call(post("/orders/special/x", id))
                    .body.find("done by i") == 0;
     };
-    REQUIRE(comes_true([&] { return goes_to_an_engine("r2"); }));
+    REQUIRE(eventually([&] { return goes_to_an_engine("r2"); }));
     CHECK(goes_to_an_engine("r3"));
     CHECK(caller.call(post("/orders/x", "r4")).body.find("done by d") == 0);
 }
@@ -535,12 +535,12 @@
     test_caller caller(node.settings.listen_callers);
     store.remove("servers", "da");
     std::this_thread::sleep_for(milliseconds(2'000));
-    auto const before = desk_a.calls().size();
+    auto const before = service_a.calls().size();
     for (int i = 0; i < 10; ++i)
         CHECK(
             caller.call(post("/orders/x", "r" + std::to_string(i))).body ==
             "done by db");
-    CHECK(desk_a.calls().size() == before);
+    CHECK(service_a.calls().size() == before);
 }
 
 TEST_CASE_METHOD(entry_fixture, "entry: an engine stops when the caller leaves")
@@ -551,10 +551,10 @@
     {
         test_caller caller(node.settings.listen_callers);
         caller.send(turn("t1"));
-        CHECK(comes_true([&] { return engine_calls() == 1; }));
+        CHECK(eventually([&] { return engine_calls() == 1; }));
         caller.close();
     }
-    CHECK(comes_true(
+    CHECK(eventually(
         [&] {
             return engine_a.cancelled_calls() + engine_b.cancelled_calls() == 1;
         }));
@@ -588,7 +588,7 @@
     entry_fixture, "entry: a planned stop lets calls under way end")
 {
     auto& node = start_node();
-    engine_a.set_script(
+    engine_a.set_handler(
         [this](link_ptr const& link, http_request const& request)
         {
             std::string const id(request["Request-Id"]);
@@ -605,11 +605,11 @@
     std::this_thread::sleep_for(milliseconds(1'500));
     test_caller caller(node.settings.listen_callers);
     caller.send(turn("t1"));
-    REQUIRE(comes_true([&] { return engine_calls() == 1; }));
+    REQUIRE(eventually([&] { return engine_calls() == 1; }));
     node.process->request_stop();
     auto const got = caller.receive();
     CHECK(got.whole);
     CHECK(got.body == three_events);
-    CHECK(comes_true([&] { return !is_ready(node); }));
+    CHECK(eventually([&] { return !is_ready(node); }));
     stop_node(node);
 }
--- a/test/entry_world.cpp
+++ b/test/entry_world.cpp
@@ -112,33 +112,33 @@
         });
 }
 
-standin_rows::standin_rows()
+standin_store::standin_store()
 {
     server_.on_request =
         [this](link_ptr const& link, http_request const& request)
     { answer(link, request); };
 }
 
-void standin_rows::put(
+void standin_store::put(
     std::string const& table, std::string const& key, json const& value)
 {
     put_bytes(table, key, value.dump());
 }
 
-void standin_rows::put_bytes(
+void standin_store::put_bytes(
     std::string const& table, std::string const& key, std::string value)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     rows_[{table, "", key}] = {std::move(value), ++version_};
 }
 
-void standin_rows::remove(std::string const& table, std::string const& key)
+void standin_store::remove(std::string const& table, std::string const& key)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     rows_.erase({table, "", key});
 }
 
-std::size_t standin_rows::count(std::string const& table) const
+std::size_t standin_store::count(std::string const& table) const
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     std::size_t found = 0;
@@ -147,27 +147,27 @@
     return found;
 }
 
-std::size_t standin_rows::readings(std::string const& table) const
+std::size_t standin_store::readings(std::string const& table) const
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     auto const found = readings_.find(table);
     return found == readings_.end() ? 0 : found->second;
 }
 
-void standin_rows::silence(std::set<std::string> partitions)
+void standin_store::silence(std::set<std::string> partitions)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     silent_ = std::move(partitions);
 }
 
-std::size_t standin_rows::transactions_of(std::string const& partition) const
+std::size_t standin_store::transactions_of(std::string const& partition) const
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     auto const found = transactions_of_.find(partition);
     return found == transactions_of_.end() ? 0 : found->second;
 }
 
-bool standin_rows::is_silent(http_request const& request)
+bool standin_store::is_silent(http_request const& request)
 {
     std::string const target(request.target());
     auto partition = query_value(target, "part");
@@ -188,13 +188,13 @@
             query_value(target, "table") == silent_table_);
 }
 
-void standin_rows::silence_table(std::string const& table)
+void standin_store::silence_table(std::string const& table)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     silent_table_ = table;
 }
 
-void standin_rows::answer(link_ptr const& link, http_request const& request)
+void standin_store::answer(link_ptr const& link, http_request const& request)
 {
     int status = 200;
     json body = json::object();
@@ -219,7 +219,7 @@
     link->finish_answer(false);
 }
 
-json standin_rows::row_json(row_key const& at) const
+json standin_store::row_json(row_key const& at) const
 {
     auto const& row = rows_.at(at);
     return {
@@ -230,7 +230,7 @@
         {"ver", row.version}};
 }
 
-json standin_rows::transaction(json const& body, int& status)
+json standin_store::transaction(json const& body, int& status)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     auto const key_of = [](json const& one) {
@@ -259,7 +259,7 @@
     return {{"ver", version_}, {"now_ms", 1}};
 }
 
-json standin_rows::range(std::string const& target)
+json standin_store::range(std::string const& target)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     ++readings_[query_value(target, "table")];
@@ -284,7 +284,7 @@
     { handle(link, request); };
 }
 
-void standin_target::set_script(handler_fn handler)
+void standin_target::set_handler(handler_fn handler)
 {
     std::lock_guard<std::mutex> const lock(mutex_);
     handler_ = std::move(handler);
@@ -417,8 +417,8 @@
     store.put("op", "config", configuration());
     register_engine(engine_a, "llm");
     register_engine(engine_b, "llm");
-    register_engine(desk_a, "desk");
-    register_engine(desk_b, "desk");
+    register_engine(service_a, "desk");
+    register_engine(service_b, "desk");
 }
 
 entry_world::~entry_world()
--- a/test/entry_world.hpp
+++ b/test/entry_world.hpp
@@ -79,10 +79,10 @@
 
 /// A stand-in for the platform's store: versioned rows and conditional
 /// transactions.
-class standin_rows
+class standin_store
 {
 public:
-    standin_rows();
+    standin_store();
 
     std::string address() const { return server_.address(); }
     void
@@ -155,7 +155,7 @@
 
     std::string const& id() const { return id_; }
     std::string address() const { return server_.address(); }
-    void set_script(handler_fn handler);
+    void set_handler(handler_fn handler);
     std::vector<received_call> calls() const;
     std::size_t cancelled_calls() const { return cancelled_; }
     standin_server& server() { return server_; }
@@ -211,11 +211,11 @@
 /// Two engines, two plain services, a store, and nodes started on demand.
 struct entry_world
 {
-    standin_rows store;
+    standin_store store;
     standin_target engine_a{"ia"};
     standin_target engine_b{"ib"};
-    standin_target desk_a{"da"};
-    standin_target desk_b{"db"};
+    standin_target service_a{"da"};
+    standin_target service_b{"db"};
 
     entry_world();
     ~entry_world();
@@ -255,7 +255,7 @@
 
     /// Polls a condition. \return false if it does not hold within 30 s.
     template<class Condition>
-    static bool comes_true(Condition const& condition)
+    static bool eventually(Condition const& condition)
     {
         auto const end =
             std::chrono::steady_clock::now() + std::chrono::seconds(30);
--- a/test/foreign_entry-test.cpp
+++ b/test/foreign_entry-test.cpp
@@ -122,11 +122,11 @@
     // the other service.
     while (std::chrono::steady_clock::now() < end)
     {
-        seen = desk_a.calls().size();
+        seen = service_a.calls().size();
         test_caller caller(node.settings.listen_callers);
         CHECK(caller.call(post("/safe/x", "r")).status == 200);
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
-    CHECK(desk_a.calls().size() == seen);
-    CHECK(desk_b.calls().size() > 10);
+    CHECK(service_a.calls().size() == seen);
+    CHECK(service_b.calls().size() > 10);
 }
--- a/test/program_line-test.cpp
+++ b/test/program_line-test.cpp
@@ -29,7 +29,7 @@
     }
     bool both_show(std::string const& metric)
     {
-        return comes_true(
+        return eventually(
             [&] { return shows(first, metric) && shows(second, metric); });
     }
 
--- a/test/stalled_call-test.cpp
+++ b/test/stalled_call-test.cpp
@@ -25,7 +25,7 @@
     {
         for (auto* one : {&a, &b})
         {
-            one->set_script(
+            one->set_handler(
                 [this, events](link_ptr const& link, http_request const& sent)
                 {
                     if (++requests > 1)
@@ -46,14 +46,14 @@
     stalled_call_fixture,
     "stalled call: a repeatable call is answered by another engine")
 {
-    stall_first_request(desk_a, desk_b, 0);
+    stall_first_request(service_a, service_b, 0);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/safe/x", "r1"));
     CHECK(got.status == 200);
     CHECK(got.whole);
-    CHECK(desk_a.calls().size() == 1);
-    CHECK(desk_b.calls().size() == 1);
+    CHECK(service_a.calls().size() == 1);
+    CHECK(service_b.calls().size() == 1);
 }
 
 TEST_CASE_METHOD(
@@ -63,7 +63,7 @@
     std::atomic<int> attempts{0};
     for (auto* one : {&engine_a, &engine_b})
     {
-        one->set_script(
+        one->set_handler(
             [&](link_ptr const& link, http_request const& sent)
             {
                 std::string const id(sent["Request-Id"]);
@@ -92,12 +92,12 @@
 TEST_CASE_METHOD(
     stalled_call_fixture, "stalled call: an order is never retried")
 {
-    stall_first_request(desk_a, desk_b, 0);
+    stall_first_request(service_a, service_b, 0);
     auto& node = start_node();
     test_caller caller(node.settings.listen_callers);
     auto const got = caller.call(post("/orders/x", "r1"));
     CHECK(got.status == 504);
-    CHECK(desk_a.calls().size() + desk_b.calls().size() == 1);
+    CHECK(service_a.calls().size() + service_b.calls().size() == 1);
 }
 
 TEST_CASE_METHOD(
@@ -116,7 +116,7 @@
     stalled_call_fixture, "stalled call: a slow engine completes its call")
 {
     store.remove("servers", "ib");
-    engine_a.set_script(
+    engine_a.set_handler(
         [this](link_ptr const& link, http_request const& sent)
         {
             std::string const id(sent["Request-Id"]);
--- a/test/store_return-test.cpp
+++ b/test/store_return-test.cpp
@@ -21,7 +21,7 @@
 struct store_return_fixture
 {
     boost::asio::io_context io;
-    standin_rows store;
+    standin_store store;
     int recoveries = 0;
     store_client client{
         io,
@@ -30,7 +30,7 @@
         {{}, [this] { ++recoveries; }, nullptr}};
 
     template<class Condition>
-    bool comes_true(Condition const& condition)
+    bool eventually(Condition const& condition)
     {
         auto const end = std::chrono::steady_clock::now() + seconds(30);
         while (!condition() && std::chrono::steady_clock::now() < end)
@@ -53,7 +53,7 @@
                     outcome = result.outcome;
                     ended = true;
                 });
-        REQUIRE(comes_true([&] { return ended; }));
+        REQUIRE(eventually([&] { return ended; }));
         return outcome;
     }
 };
@@ -68,7 +68,7 @@
     REQUIRE(read_once() == store_outcome::unavailable);
     CHECK(recoveries == 0);
     store.set_down(false);
-    CHECK(comes_true([&] { return recoveries == 1; }));
+    CHECK(eventually([&] { return recoveries == 1; }));
     CHECK(read_once() == store_outcome::done);
 }
 
@@ -87,7 +87,7 @@
     row_transaction one;
     one.writes.push_back({{"other", "p1", "k"}, "v"});
     calls.commit(one, seconds(20), [&](transaction_result const&) { ++ended; });
-    REQUIRE(comes_true([&] { return ended == 2; }));
+    REQUIRE(eventually([&] { return ended == 2; }));
     auto const text = counters.prometheus_text();
     CHECK(
         text.find("walnutmill_store_calls_total{call=\"read\",table=\"some\"} "
@@ -166,10 +166,10 @@
             return false;
         }
     };
-    REQUIRE(comes_true(is_configured));
+    REQUIRE(eventually(is_configured));
     CHECK_FALSE(is_ready(node));
     store.silence_table({});
-    REQUIRE(comes_true([&] { return is_ready(node); }));
+    REQUIRE(eventually([&] { return is_ready(node); }));
     test_caller caller(node.settings.listen_callers);
     CHECK(caller.call(post("/orders/x", "r2")).status == 200);
 }
@@ -190,13 +190,13 @@
                 CHECK(result.in_doubt);
                 ++ended;
             });
-    REQUIRE(comes_true([&] { return ended == 1; }));
+    REQUIRE(eventually([&] { return ended == 1; }));
     CHECK(store.transactions_of("p1") == 1);
     client.calls(store_client::unavailable_policy::retry_until_timeout)
         .commit(
             one, milliseconds(700),
             [&](transaction_result const&) { ++ended; });
-    REQUIRE(comes_true([&] { return ended == 2; }));
+    REQUIRE(eventually([&] { return ended == 2; }));
     CHECK(store.transactions_of("p1") > 2);
 }
 
--- a/test/workspace_calls-test.cpp
+++ b/test/workspace_calls-test.cpp
@@ -41,8 +41,8 @@
 
     std::vector<received_call> service_calls() const
     {
-        auto calls = desk_a.calls();
-        auto const others = desk_b.calls();
+        auto calls = service_a.calls();
+        auto const others = service_b.calls();
         calls.insert(calls.end(), others.begin(), others.end());
         return calls;
     }
@@ -60,7 +60,7 @@
     {
         int last = 0;
         int tries = 0;
-        comes_true(
+        eventually(
             [&]
             {
                 if (last != wanted)
@@ -143,8 +143,8 @@
         standin_target::cut(link);
         return true;
     };
-    engine_a.set_script(breaks_once);
-    engine_b.set_script(breaks_once);
+    engine_a.set_handler(breaks_once);
+    engine_b.set_handler(breaks_once);
     REQUIRE(status_of(node, turn("t1", key_a)) == 200);
     auto calls = engine_a.calls();
     for (auto const& one : engine_b.calls())
@@ -189,7 +189,7 @@
     REQUIRE(status_of(node, turn("t1", {}, "/kept/")) == 200);
     document["tenants"] = tenants;
     publish();
-    REQUIRE(comes_true(
+    REQUIRE(eventually(
         [&] { return status_of(node, post("/orders/x", "r")) == 401; }));
     CHECK(
         status_of(
